--- a/gooseberrydale/request/admission.py
+++ b/gooseberrydale/request/admission.py
@@ -1,11 +1,10 @@
-"""Decides when work starts at one upstream, and what is refused at once.
+"""Decides when work starts at one upstream, and which work is refused at once.
 
 At most ``max_running`` attempts run and at most ``max_queued`` wait; they start no
-faster than the upstream asks for.  Higher priorities start first; within a priority
-workspaces share by start-time fair queueing on estimated tokens.  Work that can't meet
-its deadline is refused when it is offered, or as soon as that becomes certain, with a
-time to retry.  Pure state of one sidecar's gate; it lives as long as the sidecar's
-incarnation.
+faster than the upstream's rate limit. Higher priorities start first; within a priority,
+start-time fair queueing on estimated tokens divides the upstream among the workspaces.
+Work that can't meet its deadline is refused with a retry time, when it is offered or as
+soon as that becomes certain. Pure state, one per incarnation of a sidecar.
 """
 
 from __future__ import annotations
@@ -22,10 +21,10 @@
 __all__ = ["Admission", "Admitted", "Queued", "Work"]
 
 DEFAULT_PREFILL_TPS = 8_000.0
-DEFAULT_HOLD_S = 1.0
-HOLD_SMOOTHING = 0.1
+DEFAULT_SLOT_TIME_S = 1.0
+SLOT_TIME_SMOOTHING = 0.1
 MIN_RETRY_AFTER_S = 0.1
-KEPT_IDS = 4_096
+MAX_STARTED_IDS = 4_096
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The work waits; ``displaced`` was refused to make room: answer it at once."""
+    """The work waits; answer ``displaced``, refused to free its place, at once."""
 
     wait_s: float
     displaced: tuple[tuple[str, Problem], ...] = ()
@@ -49,7 +48,7 @@
 
 
 class Admission:
-    """Gate before one upstream; every method takes the loop's time in seconds."""
+    """Admits work to one upstream; every method takes the loop's time in seconds."""
 
     def __init__(
         self,
@@ -60,13 +59,13 @@
         self._max_running = max_running
         self._max_queued = max_queued
         self._prefill_tps = prefill_tps
-        self._hold_s = DEFAULT_HOLD_S
+        self._slot_time_s = DEFAULT_SLOT_TIME_S
         self._running: dict[str, _Running] = {}
         self._prefilled_at = 0.0
         self._queue = FairQueue()
-        self._hopeless: list[Waiting] = []
+        self._overdue: list[Waiting] = []
         self._started: OrderedDict[str, None] = OrderedDict()
-        self._pace = Pace()
+        self._start_limiter = Pace()
 
     def offer(self, work: Work, now: float) -> Admitted | Queued | Problem:
         """Take new work, queue it, or refuse it at once (``not_run`` is True)."""
@@ -80,16 +79,17 @@
         if wait_s + self._prefill_s(work) > work.deadline_s:
             return self._too_late(wait_s, work, now)
         if starts_now:
-            # Through the queue, so that its workspace is charged for it.
+            # Pushed to the queue first, so that its workspace is charged for it.
             self._queue.push(work, now)
             self._start_queued(now)
             return Admitted()
         return self._enqueue(work, wait_s, now)
 
     def first_token(self, work_id: str, now: float) -> None:
-        """Say that the work's prompt is computed and no longer delays others.
+        """Note that the work's prompt is computed and no longer delays others.
 
-        Without it the prompt counts for as long as its tokens take at the rate.
+        Without this call, the prompt counts for as long as its tokens take at the
+        prefill rate.
         """
         if work_id in self._running:
             self._running[work_id].prefilling = False
@@ -97,66 +97,66 @@
 
     def finish(self, work_id: str, now: float) -> list[str]:
         """Free the work's slot; return the ids of queued work that starts now."""
-        done = self._running.pop(work_id, None)
-        if done is None:
+        finished = self._running.pop(work_id, None)
+        if finished is None:
             return []
         self._end_backlog(now)
-        held_s = max(0.0, now - done.started_at)
-        self._hold_s += HOLD_SMOOTHING * (held_s - self._hold_s)
+        occupied_s = max(0.0, now - finished.started_at)
+        self._slot_time_s += SLOT_TIME_SMOOTHING * (occupied_s - self._slot_time_s)
         return self._start_queued(now)
 
     def cancel(self, work_id: str, now: float) -> list[str]:
-        """Give the work up, running or queued; return the ids that start now."""
+        """Remove running or queued work; return the ids of work that starts now."""
         if self._running.pop(work_id, None) is not None:
             self._end_backlog(now)
             return self._start_queued(now)
         self._queue.remove(work_id)
-        self._hopeless = [w for w in self._hopeless if w.work.id != work_id]
+        self._overdue = [w for w in self._overdue if w.work.id != work_id]
         return []
 
     def expire(self, now: float) -> list[tuple[str, Problem]]:
-        """Return queued work that can't meet its deadline, to be answered at once."""
-        late = self._hopeless
-        self._hopeless = []
+        """Remove and return queued work that is too late, to be answered at once."""
+        late = self._overdue
+        self._overdue = []
         for waiting in self._queue.items():
             if self._is_late(waiting, now):
                 self._queue.remove(waiting.work.id)
                 late.append(waiting)
-        wait_s = max(self._slot_wait_s(), self._pace.wait_s(now))
+        wait_s = max(self._slot_wait_s(), self._start_limiter.wait_s(now))
         return [(w.work.id, self._too_late(wait_s, w.work, now)) for w in late]
 
     def next_expiry(self) -> float | None:
-        """Return when :meth:`expire` has work at the latest; None if nothing waits."""
-        if self._hopeless:
-            return self._hopeless[0].offered_at
+        """Return when to call :meth:`expire` at the latest; None if nothing waits."""
+        if self._overdue:
+            return self._overdue[0].offered_at
         times = [self._latest_start(waiting) for waiting in self._queue.items()]
         return min(times, default=None)
 
     def limit(self, per_s: float | None, now: float) -> None:
-        """Start ``per_s`` attempts a second at most; None without a limit."""
-        self._pace.limit(per_s, now)
+        """Start at most ``per_s`` attempts a second; None removes the limit."""
+        self._start_limiter.limit(per_s, now)
 
     def back_off(self, for_s: float, now: float) -> None:
-        """Start nothing for a time, as the upstream asks for."""
-        self._pace.back_off(for_s, now)
+        """Start nothing for ``for_s`` seconds, as the upstream has asked."""
+        self._start_limiter.back_off(for_s, now)
 
     def next_start(self, now: float) -> float | None:
-        """Return when :meth:`start_due` has work; None if that takes a free slot."""
+        """Return when to call :meth:`start_due`; None if no queued work has a slot."""
         if not self._queue or not self._has_slot():
             return None
-        return now + self._pace.wait_s(now)
+        return now + self._start_limiter.wait_s(now)
 
     def start_due(self, now: float) -> list[str]:
         """Return the ids of queued work that starts now."""
         return self._start_queued(now)
 
     def observe_rate(self, prefill_tps: float) -> None:
-        """Take the upstream's measured prefill rate in tokens a second."""
+        """Set the prefill rate measured at the upstream, in tokens a second."""
         if prefill_tps > 0:
             self._prefill_tps = prefill_tps
 
     def load(self, now: float) -> Load:
-        """Return the load as the replies report it."""
+        """Return the load to report in replies."""
         return Load(
             running=len(self._running),
             queued=len(self._queue),
@@ -168,7 +168,7 @@
         return len(self._running) < self._max_running
 
     def _may_start(self, now: float) -> bool:
-        return self._has_slot() and self._pace.wait_s(now) <= 0.0
+        return self._has_slot() and self._start_limiter.wait_s(now) <= 0.0
 
     def _is_known(self, work_id: str) -> bool:
         if work_id in self._running or work_id in self._queue:
@@ -178,11 +178,11 @@
     def _enqueue(self, work: Work, wait_s: float, now: float) -> Queued | Problem:
         displaced: tuple[tuple[str, Problem], ...] = ()
         if len(self._queue) >= self._max_queued:
-            worst = self._queue.worse_than(work)
-            if worst is None:
+            lowest = self._queue.worse_than(work)
+            if lowest is None:
                 return self._full(now)
-            self._queue.remove(worst.work.id)
-            displaced = ((worst.work.id, self._full(now)),)
+            self._queue.remove(lowest.work.id)
+            displaced = ((lowest.work.id, self._full(now)),)
         self._queue.push(work, now)
         self._check()
         return Queued(wait_s, displaced)
@@ -194,7 +194,7 @@
             if waiting is None:
                 break
             if self._is_late(waiting, now):
-                self._hopeless.append(waiting)
+                self._overdue.append(waiting)
                 continue
             self._start(waiting.work, now)
             started.append(waiting.work.id)
@@ -202,27 +202,31 @@
 
     def _start(self, work: Work, now: float) -> None:
         if work.id in self._running or work.id in self._started:
-            raise InvariantError(f"work {work.id} started twice")
+            raise InvariantError(f"work {work.id} was started a second time")
         self._started[work.id] = None
-        if len(self._started) > KEPT_IDS:
+        if len(self._started) > MAX_STARTED_IDS:
             self._started.popitem(last=False)
         self._running[work.id] = _Running(work, now)
-        self._pace.start(now)
+        self._start_limiter.start(now)
         begins_at = max(now, self._prefilled_at)
         self._prefilled_at = begins_at + self._prefill_s(work)
         self._check()
 
     def _check(self) -> None:
         if len(self._running) > self._max_running:
-            raise InvariantError(f"{len(self._running)} run of {self._max_running}")
+            raise InvariantError(
+                f"{len(self._running)} attempts run, max_running is {self._max_running}"
+            )
         if len(self._queue) > self._max_queued:
-            raise InvariantError(f"{len(self._queue)} wait of {self._max_queued}")
+            raise InvariantError(
+                f"{len(self._queue)} attempts wait, max_queued is {self._max_queued}"
+            )
 
     def _prefill_s(self, work: Work) -> float:
         return work.tokens / self._prefill_tps
 
     def _prefill_backlog_s(self, now: float) -> float:
-        """Time until the prompts of all running work are computed."""
+        """Return the time until the prompts of all running work are computed."""
         return max(0.0, self._prefilled_at - now)
 
     def _end_backlog(self, now: float) -> None:
@@ -230,16 +234,16 @@
             self._prefilled_at = now
 
     def _slot_wait_s(self) -> float:
-        return self._hold_s / self._max_running
+        return self._slot_time_s / self._max_running
 
     def _queued_wait_s(self, work: Work, now: float) -> float:
         tokens, count = self._queue.ahead_of(work)
         return self._wait_s(tokens, count, now)
 
     def _wait_s(self, tokens: int, count: int, now: float) -> float:
-        """Expected wait behind ``count`` queued attempts of ``tokens`` in all."""
+        """Return the wait behind ``count`` queued attempts with ``tokens`` in total."""
         prefill_s = self._prefill_backlog_s(now) + tokens / self._prefill_tps
-        start_s = self._pace.wait_s(now, ahead=count)
+        start_s = self._start_limiter.wait_s(now, ahead=count)
         if self._has_slot() and count == 0:
             return max(prefill_s, start_s)
         return max(prefill_s, start_s, (count + 1) * self._slot_wait_s())
--- a/gooseberrydale/request/affinity.py
+++ b/gooseberrydale/request/affinity.py
@@ -1,9 +1,9 @@
-"""Which upstreams probably hold the prefix of a prompt.
+"""Estimates which upstreams have a prefix of a prompt cached.
 
-Two sources: rendezvous homes of a few levels of the prompt, which every entry
-computes alike from names alone, and holders that this entry has itself sent the
-prefix to lately.  Engines evict within seconds, so belief in a holder fades.  Pure;
-a part of the router's state.
+There are two sources. The preferred upstreams of a few levels of the prompt come from a
+rendezvous hash of names, so every entry computes the same ones. Holders are upstreams
+that this entry has recently sent the prefix to. Engines evict within seconds, so the
+probability that a holder still has the prefix decays. Pure; part of the router's state.
 """
 
 from __future__ import annotations
@@ -18,25 +18,26 @@
 from gooseberrydale.request.estimate import Estimates, identity
 
 MIN_BASE_TOKENS = 256
-# A level must add this part of the prompt to the one before it to have own homes.
-MIN_LEVEL_PART = 0.05
+# Fraction of the prompt that a level must add to the one before it to have its own
+# preferred upstreams.
+MIN_LEVEL_FRACTION = 0.05
 MAX_PREFIXES = 64
-KEPT_PREFIXES = 8_192
+MAX_TRACKED_PREFIXES = 8_192
 HOLDERS_PER_PREFIX = 8
 SCOPE_BYTES = 8
-KEPT_SCOPES = 4_096
+MAX_CACHED_SCOPES = 4_096
 
 
 @dataclass(frozen=True, slots=True)
 class Prefix:
-    """A prefix of a prompt within its workspace and model, and its length."""
+    """A prefix of a prompt within its workspace and model, with its length."""
 
     key: bytes
     tokens: int
 
 
 class Scopes:
-    """Digest of workspace and model, so that equal prompts of others stay apart."""
+    """Digests of workspace and model, which keep equal prompts of others separate."""
 
     def __init__(self) -> None:
         self._digests: dict[tuple[str, str], bytes] = {}
@@ -44,23 +45,23 @@
     def prefixes(
         self, workspace: str, model: str, pieces: Sequence[Piece]
     ) -> tuple[Prefix, ...]:
-        """Return the prefixes that ``pieces`` end, the shortest first."""
+        """Return the prefixes that end with each of ``pieces``, the shortest first."""
         scope = self._digest(workspace, model)
-        found = []
+        prefixes = []
         tokens = 0
         for piece in pieces:
             tokens += piece.tokens
-            found.append(Prefix(scope + piece.chain, tokens))
-        if len(found) > MAX_PREFIXES:
+            prefixes.append(Prefix(scope + piece.chain, tokens))
+        if len(prefixes) > MAX_PREFIXES:
             half = MAX_PREFIXES // 2
-            found = found[:half] + found[-half:]
-        return tuple(found)
+            prefixes = prefixes[:half] + prefixes[-half:]
+        return tuple(prefixes)
 
     def _digest(self, workspace: str, model: str) -> bytes:
         key = (workspace, model)
         digest = self._digests.get(key)
         if digest is None:
-            if len(self._digests) >= KEPT_SCOPES:
+            if len(self._digests) >= MAX_CACHED_SCOPES:
                 self._digests.clear()
             text = f"{len(workspace)}:{workspace}{model}".encode()
             digest = hashlib.blake2b(text, digest_size=SCOPE_BYTES).digest()
@@ -69,9 +70,10 @@
 
 
 def levels(prefixes: Sequence[Prefix]) -> list[Prefix]:
-    """Pick the prefixes that have homes: the base, half, last but one, and last.
+    """Select the prefixes with preferred upstreams: base, half, second to last, last.
 
-    The base is the first prefix worth keeping together; the others divide its homes.
+    The base is the first prefix that is long enough to be cached at one place; the
+    others are divided among the preferred upstreams of the base.
     """
     if not prefixes:
         return []
@@ -80,13 +82,13 @@
     base = next((p for p in prefixes if p.tokens >= MIN_BASE_TOKENS), prefixes[-1])
     picked = [base]
     for prefix in (half, *prefixes[-2:]):
-        if prefix.tokens - picked[-1].tokens > MIN_LEVEL_PART * total:
+        if prefix.tokens - picked[-1].tokens > MIN_LEVEL_FRACTION * total:
             picked.append(prefix)
     return picked
 
 
 class Holders:
-    """Upstreams that this entry sent a prefix to, bounded and fading."""
+    """Upstreams that this entry has sent a prefix to; bounded, with expiry."""
 
     def __init__(self, estimates: Estimates) -> None:
         self._estimates = estimates
@@ -98,7 +100,7 @@
     def note(
         self, prefixes: Sequence[Prefix], record: UpstreamRecord, now: float
     ) -> None:
-        """Believe that the upstream holds these prefixes from now on."""
+        """Record that the upstream has these prefixes cached from now on."""
         held = _Held(identity(record), now)
         for prefix in prefixes:
             holders = self._by_key.setdefault(prefix.key, {})
@@ -107,11 +109,11 @@
             if len(holders) > HOLDERS_PER_PREFIX:
                 del holders[next(iter(holders))]
             self._by_key.move_to_end(prefix.key)
-        while len(self._by_key) > KEPT_PREFIXES:
+        while len(self._by_key) > MAX_TRACKED_PREFIXES:
             self._by_key.popitem(last=False)
 
     def forget(self, prefixes: Sequence[Prefix], name: str) -> None:
-        """Stop believing that the upstream holds these prefixes."""
+        """Remove the record that the upstream has these prefixes cached."""
         for prefix in prefixes:
             holders = self._by_key.get(prefix.key)
             if holders is not None:
@@ -124,16 +126,16 @@
         skipped: Container[str],
         now: float,
     ) -> Iterator[tuple[UpstreamRecord, float]]:
-        """Yield holders of ``prefix`` among ``members`` and the belief in each."""
+        """Yield holders of ``prefix`` among ``members``, each with its probability."""
         for name, held in self._by_key.get(prefix.key, _NO_HOLDERS).items():
             if name in skipped:
                 continue
             record = members.get(name)
             if record is None or held.identity != identity(record):
                 continue
-            age = (now - held.at) / self._estimates.get(record).cache_ttl_s
-            if age < 1.0:
-                yield record, 1.0 - age * age
+            relative_age = (now - held.at) / self._estimates.get(record).cache_ttl_s
+            if relative_age < 1.0:
+                yield record, 1.0 - relative_age * relative_age
 
 
 @dataclass(frozen=True, slots=True)
--- a/gooseberrydale/request/baselines.py
+++ b/gooseberrydale/request/baselines.py
@@ -1,7 +1,7 @@
-"""Plain policies to measure the router against, and the choice of one by name.
+"""Simple policies to compare the router with, and the policy for each name.
 
-They see the same upstreams and the same replies as the router.  Pure; the state
-lives as long as the process.
+They receive the same upstreams and replies as the router. Pure; the state is one per
+process.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 class _Baseline:
-    """Chooses among all eligible upstreams and learns nothing."""
+    """Chooses among all eligible upstreams, without any learned state."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
@@ -37,7 +37,7 @@
     def choose(
         self, req: RouteReq, upstreams: Sequence[UpstreamRecord], now: float
     ) -> Result[Choice, Problem]:
-        """Choose one of ``upstreams``, or say NO_UPSTREAM."""
+        """Choose one of ``upstreams``, or return NO_UPSTREAM."""
         members = self._members.get(req.profile, upstreams)
         allowed = members.names
         if req.excluded:
@@ -58,20 +58,20 @@
         raise NotImplementedError
 
     def dispatched(self, choice: Choice, now: float) -> None:
-        """Learn nothing."""
+        """Ignore the event."""
 
     def observe(self, choice: Choice, frame: Frame, now: float) -> None:
-        """Learn nothing."""
+        """Ignore the event."""
 
     def lost(self, choice: Choice, now: float) -> None:
-        """Learn nothing."""
+        """Ignore the event."""
 
     def observe_load(self, record: UpstreamRecord, load: Load, now: float) -> None:
-        """Learn nothing."""
+        """Ignore the event."""
 
 
 class RandomPolicy(_Baseline):
-    """Any eligible upstream with the same chance."""
+    """Chooses any eligible upstream with the same probability."""
 
     def _pick(
         self,
@@ -84,11 +84,11 @@
 
 
 class RoundRobinPolicy(_Baseline):
-    """One eligible upstream after the other, from a random start."""
+    """Chooses the eligible upstreams in order, from a random start."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
-        self._turn = rng.randrange(1 << 16)
+        self._next_index = rng.randrange(1 << 16)
 
     def _pick(
         self,
@@ -97,12 +97,12 @@
         allowed: list[str],
         now: float,
     ) -> str:
-        self._turn += 1
-        return allowed[self._turn % len(allowed)]
+        self._next_index += 1
+        return allowed[self._next_index % len(allowed)]
 
 
 class LeastLoadedPolicy(_Baseline):
-    """The eligible upstream of least expected wait, blind to caches."""
+    """Chooses the eligible upstream with the shortest queue time, ignoring caches."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
@@ -116,9 +116,9 @@
         now: float,
     ) -> str:
         estimates = [self._estimates.get(members.by_name[name]) for name in allowed]
-        waits = [estimate.queue_s(now) for estimate in estimates]
-        least = min(waits)
-        ties = [name for name, wait in zip(allowed, waits) if wait == least]
+        queue_times = [estimate.queue_s(now) for estimate in estimates]
+        least = min(queue_times)
+        ties = [name for name, wait in zip(allowed, queue_times) if wait == least]
         return self._rng.choice(ties)
 
     def dispatched(self, choice: Choice, now: float) -> None:
@@ -129,7 +129,7 @@
             estimate.sent(choice.serial, tokens, now)
 
     def observe(self, choice: Choice, frame: Frame, now: float) -> None:
-        """Take the load from a frame."""
+        """Record the load in a frame."""
         estimate = self._estimates.find(choice.record)
         if estimate is None or isinstance(frame, Chunk):
             return
@@ -142,17 +142,17 @@
         estimate = self._estimates.find(choice.record)
         if estimate is not None:
             estimate.answered(choice.serial)
-            estimate.shun(now)
+            estimate.avoid(now)
 
     def observe_load(self, record: UpstreamRecord, load: Load, now: float) -> None:
-        """Take a load report that came just now."""
+        """Record a load report that was received just now."""
         estimate = self._estimates.find(record)
         if estimate is not None:
             estimate.report(load, now)
 
 
 class HashOnlyPolicy(_Baseline):
-    """The first rendezvous home of the prompt's first piece, blind to load."""
+    """Chooses the preferred upstream of the prompt's first piece, ignoring load."""
 
     def __init__(self, rng: random.Random) -> None:
         super().__init__(rng)
@@ -186,5 +186,5 @@
 
 
 def make_policy(name: str, rng: random.Random) -> Policy:
-    """Return a new policy; raises KeyError for a name outside ``POLICIES``."""
+    """Return a new policy; raises KeyError for a name that ``POLICIES`` lacks."""
     return POLICIES[name](rng)
--- a/gooseberrydale/request/candidates.py
+++ b/gooseberrydale/request/candidates.py
@@ -1,11 +1,14 @@
-"""Collects the few upstreams that are worth weighing for one request.
-
-The base of a prompt, such as a guide, has ranked homes.  The first one is in use;
-as long as all in use have to wait longer, beyond what the whole pool waits, than the
-prompt takes to compute anew, the next one joins; and as many are in use as the rate
-of requests for the base calls for.  Deeper levels, such as a lot, are
-divided among the homes in use, so that they lie where their base lies.  All entries
-see the same load and the same order, so they decide alike without a word.  Pure.
+"""Collects the few upstreams whose expected times are compared for one request.
+
+The base of a prompt, such as a guide that many prompts start with, has preferred
+upstreams in a ranked order. Usually only the first is in use. The next one is added
+when all those in use have a queue longer than the pool's mean by more than the time to
+recompute the prompt, or when the rate of requests for the base needs it. Deeper levels,
+such as a lot that the guide is followed by, are divided among the upstreams in use, so
+that each is cached where its base is.
+
+All entries have the same load reports and the same order, so they agree without
+communication. Pure.
 """
 
 from __future__ import annotations
@@ -15,36 +18,38 @@
 
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.request.affinity import Holders, Prefix, levels
-from gooseberrydale.request.demand import Demand, homes_needed
+from gooseberrydale.request.demand import PrefixRates, preferred_needed
 from gooseberrydale.request.estimate import Estimates
 from gooseberrydale.request.members import Members
 
-MIN_HOMES = 2
-# What this entry does not know of a home: other entries sent the prefix there.
-HOME_BELIEF = 0.8
-MIN_WIDEN_S = 0.05
-KNOWN_HOLDERS = 6
-RANDOM_WITH_HOMES = 1
-RANDOM_WITHOUT_HOMES = 3
-RANDOM_TRIES = 3
+MIN_PREFERRED = 2
+# Probability that a preferred upstream has a prefix cached, if this entry has not sent
+# it there: other entries probably have.
+PREFERRED_CACHED_PROBABILITY = 0.8
+MIN_SPREAD_QUEUE_S = 0.05
+MAX_HOLDERS = 6
+RANDOM_WITH_PREFERRED = 1
+RANDOM_WITHOUT_PREFERRED = 3
+DRAWS_PER_CANDIDATE = 3
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """One upstream and how much of the prompt it probably holds, in tokens.
+    """One upstream and the expected number of the prompt's tokens in its cache.
 
-    ``known`` says that this entry sent it there, so that the belief can be checked;
-    ``stray`` that other entries would not look for the prefix there.
+    ``known`` says that this entry sent the prefix there, so that the reply can confirm
+    the expectation. ``random_pick`` says that the upstream was chosen at random: other
+    entries would not look for the prefix there.
     """
 
     record: UpstreamRecord
     cached_tokens: float = 0.0
     known: bool = False
-    stray: bool = False
+    random_pick: bool = False
 
 
 class Collector:
-    """Gathers candidates from homes, holders and chance."""
+    """Collects preferred upstreams, holders of the prefix, and random upstreams."""
 
     def __init__(
         self,
@@ -55,7 +60,7 @@
         self._rng = rng
         self._estimates = estimates
         self._holders = holders
-        self._demand = Demand()
+        self._rates = PrefixRates()
 
     def collect(
         self,
@@ -65,11 +70,11 @@
         entries: int,
         now: float,
     ) -> dict[str, Candidate]:
-        """Return the candidates by name; empty only if nothing is eligible."""
+        """Return the candidates by name; empty only if no upstream is eligible."""
         found: dict[str, Candidate] = {}
-        self._add_homes(found, members, prefixes, excluded, entries, now)
+        self._add_preferred(found, members, prefixes, excluded, entries, now)
         self._add_holders(found, members, prefixes, excluded, now)
-        wanted = RANDOM_WITH_HOMES if found else RANDOM_WITHOUT_HOMES
+        wanted = RANDOM_WITH_PREFERRED if found else RANDOM_WITHOUT_PREFERRED
         self.add_random(found, members, excluded, wanted)
         if not found:
             self._add_any(found, members, excluded)
@@ -82,18 +87,18 @@
         excluded: frozenset[str],
         wanted: int,
     ) -> None:
-        """Add up to ``wanted`` upstreams that are no candidates yet."""
+        """Add up to ``wanted`` random upstreams that are not yet candidates."""
         if not members.names:
             return
-        for _ in range(wanted * RANDOM_TRIES):
+        for _ in range(wanted * DRAWS_PER_CANDIDATE):
             name = self._rng.choice(members.names)
             if name not in excluded and name not in found:
-                found[name] = Candidate(members.by_name[name], stray=True)
+                found[name] = Candidate(members.by_name[name], random_pick=True)
                 wanted -= 1
             if wanted == 0:
                 return
 
-    def _add_homes(
+    def _add_preferred(
         self,
         found: dict[str, Candidate],
         members: Members,
@@ -110,19 +115,22 @@
         if not names:
             return
         in_use = max(
-            self._in_use(members, names, prefixes[-1], now),
-            self._in_demand(members, names, base, prefixes, entries, now),
+            self._needed_for_load(members, names, prefixes[-1], now),
+            self._needed_for_rate(members, names, base, prefixes, entries, now),
         )
-        for rank, name in enumerate(names[: max(in_use + 1, MIN_HOMES)]):
-            # Later homes joined under load and have got the prefix later, if at all.
-            belief = HOME_BELIEF / (1 + rank)
-            _add_better(found, Candidate(members.by_name[name], base.tokens * belief))
+        for rank, name in enumerate(names[: max(in_use + 1, MIN_PREFERRED)]):
+            # Lower-ranked upstreams were added under load, so they received the prefix
+            # later, if at all.
+            probability = PREFERRED_CACHED_PROBABILITY / (1 + rank)
+            _add_better(
+                found, Candidate(members.by_name[name], base.tokens * probability)
+            )
         for prefix in deeper:
             name = members.first_among(names[:in_use], prefix.key)
-            tokens = prefix.tokens * HOME_BELIEF
+            tokens = prefix.tokens * PREFERRED_CACHED_PROBABILITY
             _add_better(found, Candidate(members.by_name[name], tokens))
 
-    def _in_demand(
+    def _needed_for_rate(
         self,
         members: Members,
         names: list[str],
@@ -131,27 +139,27 @@
         entries: int,
         now: float,
     ) -> int:
-        """Return how many of the ranked homes the rate of requests calls for."""
-        seen = self._demand.count(base.key, now)
+        """Return how many preferred upstreams the rate of requests needs."""
+        requests = self._rates.count(base.key, now)
         shared = prefixes[-2].tokens if len(prefixes) > 1 else 0
         first = self._estimates.get(members.by_name[names[0]])
         compute_s = (prefixes[-1].tokens - shared) / first.prefill_tps
-        return min(len(names), homes_needed(seen, entries, compute_s))
+        return min(len(names), preferred_needed(requests, entries, compute_s))
 
-    def _in_use(
-        self, members: Members, names: list[str], whole: Prefix, now: float
+    def _needed_for_load(
+        self, members: Members, names: list[str], prompt: Prefix, now: float
     ) -> int:
-        """Return how many of the ranked homes the present load calls for.
+        """Return how many preferred upstreams the present load needs.
 
-        A wait that the whole pool has is no reason to spread: it comes from too much
-        work, and each further copy of a prefix makes it more.
+        A queue that the whole pool has is no reason to use more: the pool has too much
+        work, and computing the prefix at one more upstream adds to it.
         """
         first = self._estimates.get(members.by_name[names[0]])
-        anew_s = max(MIN_WIDEN_S, whole.tokens / first.prefill_tps)
-        bearable_s = anew_s + first.pool_queue_s
+        recompute_s = max(MIN_SPREAD_QUEUE_S, prompt.tokens / first.prefill_tps)
+        acceptable_s = recompute_s + first.pool_queue_s
         for count, name in enumerate(names):
             estimate = self._estimates.get(members.by_name[name])
-            if estimate.queue_s(now) <= bearable_s:
+            if estimate.queue_s(now) <= acceptable_s:
                 return count + 1
         return len(names)
 
@@ -164,13 +172,13 @@
         now: float,
     ) -> None:
         skipped = set(excluded)
-        enough = len(skipped) + KNOWN_HOLDERS
+        enough = len(skipped) + MAX_HOLDERS
         for prefix in reversed(prefixes):
             held = list(self._holders.of(prefix, members.by_name, skipped, now))
-            for record, belief in held:
+            for record, probability in held:
                 skipped.add(record.name)
                 _add_better(
-                    found, Candidate(record, prefix.tokens * belief, known=True)
+                    found, Candidate(record, prefix.tokens * probability, known=True)
                 )
             if len(skipped) >= enough:
                 return
--- a/gooseberrydale/request/chooser.py
+++ b/gooseberrydale/request/chooser.py
@@ -1,7 +1,7 @@
 """Chooses the upstream of each attempt of one request.
 
-Lives for one request.  It remembers what was tried and why that failed; the policy,
-which lives as long as the process, makes the choice itself.
+One per request. It records which upstreams were tried and why the attempts failed; the
+policy, one per process, makes the choice itself.
 """
 
 from __future__ import annotations
@@ -19,15 +19,18 @@
 from gooseberrydale.request.routing import Choice, RouteReq
 
 RESUME_WAIT_S = 3.0
-POLL_S = 0.05
-# The sidecar may be well: only the connection was lost.
+POLL_INTERVAL_S = 0.05
+# Only the connection failed: the sidecar may still be running.
 CONNECTION_CAUSES = (Cause.LOST, Cause.SILENT)
-# A tombstone follows a lost connection, and its sidecar has answered on a new one.
+# A tombstone is confirmed after a lost connection, by a sidecar that has answered on a
+# new one.
 SECOND_TRY_CAUSES = (*CONNECTION_CAUSES, Cause.TOMBSTONED)
 
 
 class Chooser:
-    """Upstreams tried for one job; ``left_s`` tells the time to its deadline."""
+    """The upstreams tried for one job; ``left_s`` returns the time left to its
+    deadline.
+    """
 
     def __init__(self, deps: Deps, job: Job, left_s: Callable[[], float]) -> None:
         self._deps = deps
@@ -38,9 +41,10 @@
         self._second_tries: bool | None = None
 
     def failed(self, cause: Cause, why: Problem | None) -> None:
-        """Take note that the last attempt failed and another one follows.
+        """Record that the last attempt failed and another one follows.
 
-        Once, upstreams may be tried again after a connection was lost.
+        After a lost connection, upstreams that were tried may be tried again, once per
+        request.
         """
         self._last_problem = why
         if cause in SECOND_TRY_CAUSES and self._second_tries is None:
@@ -49,38 +53,38 @@
     async def choose(self, *, given: bool, may_have_run: bool) -> Choice:
         """Choose an upstream that was not tried yet; raises :class:`ProblemError`.
 
-        ``given`` says that the caller has a part of the answer: a stream that broke
-        off waits a moment for an upstream.
+        ``given`` says that the caller has received part of the answer: a stream that
+        was interrupted waits for up to ``RESUME_WAIT_S`` for an upstream.
         """
         started = _now()
         while True:
             now = _now()
             upstreams = self._deps.directory.ready(self._job.profile.pool, now)
-            found = self._deps.policy.choose(self._route_req(now), upstreams, now)
-            if not isinstance(found, Err):
-                record = found.ok_value.record
+            choice = self._deps.policy.choose(self._route_req(now), upstreams, now)
+            if not isinstance(choice, Err):
+                record = choice.ok_value.record
                 self._tried[record.name] = record.incarnation
-                return found.ok_value
+                return choice.ok_value
             if now < started + self._wait_s(given, is_empty=not upstreams):
                 self._tried.clear()
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
             elif self._second_tries:
                 self._second_tries = False
                 self._tried.clear()
             else:
-                why = self._none_left(found.err_value)
-                raise ProblemError(_honest(why, given, may_have_run))
+                why = self._none_left(choice.err_value)
+                raise ProblemError(_with_outcome(why, given, may_have_run))
 
     def _wait_s(self, given: bool, *, is_empty: bool) -> float:
-        """How long to wait for an upstream; no refusal waits longer."""
+        """Return how long to wait for an upstream before refusing the request."""
         if given:
             return RESUME_WAIT_S
-        if is_empty and self._deps.freshness.is_fresh(_now()):
+        if is_empty and self._deps.freshness.is_active(_now()):
             return min(MAX_WAIT_S, max(self._left_s(), 0.0))
         return 0.0
 
     def _none_left(self, why: Problem) -> Problem:
-        """The refusal met before says more, if it says when to come back."""
+        """Return the last refusal if it has a retry time, otherwise ``why``."""
         last = self._last_problem
         if last is not None and last.retry_after_s is not None:
             return last
@@ -108,7 +112,7 @@
         return frozenset(tried)
 
 
-def _honest(why: Problem, given: bool, may_have_run: bool) -> Problem:
+def _with_outcome(why: Problem, given: bool, may_have_run: bool) -> Problem:
     if given:
         return why.with_outcome(False)
     return why.with_outcome(None) if may_have_run else why
--- a/gooseberrydale/request/comeback.py
+++ b/gooseberrydale/request/comeback.py
@@ -1,58 +1,61 @@
-"""When a caller whose request has not run is told to come back.  Pure.
+"""Computes the retry times sent with refusals of requests that have not run. Pure.
 
-The figures serve callers: soon enough that their time is not lost, late enough that
-what was in the way is likely gone.
+Each time is short enough not to waste the caller's time, and long enough that the cause
+of the refusal is probably over.
 """
 
 from __future__ import annotations
 
 import random
 
-REFUSED_AFTER_S = 0.25
-"""After a refusal by upstreams: about the time of a run on a service, or of a third of
-a change of weights; another upstream has a place by then."""
+AFTER_REFUSAL_S = 0.25
+"""After a refusal by upstreams: about the run time of a service request, or a third of
+the time to load new weights; by then another upstream has a free slot."""
 
 NO_UPSTREAM_AFTER_S = 0.6
-"""While no upstream is known: half of the pause between two announcements."""
+"""While no upstream is known: half of the interval between two announcements."""
 
 NO_ROOM_AFTER_S = 0.8
-"""While engines are full: about a run, after which as many places were free as there
-are."""
+"""While engines are full: about the run time of a request, after which as many slots
+have become free as there are."""
 
-SPREAD_PART = 0.5
-"""Callers told at one moment come back within this part of the time before and after
-it, so that they don't meet again."""
+JITTER_FRACTION = 0.5
+"""Largest deviation from the computed time, as a fraction of it, so that callers
+refused at the same moment don't all retry at the same moment."""
 
 NOT_READY_AFTER_S = 0.5
-"""While this process knows no configuration; another one of the zone does."""
+"""While this process has no configuration; another process of the zone has one."""
 
 PART_OF_LEFT = 0.25
-"""Callers come back within a third of the time that they have left; a quarter leaves
-them time for the work itself."""
+"""Largest fraction of its remaining time that a caller is asked to wait. Callers retry
+within a third of that time; a quarter leaves them enough for the request itself."""
 
-LEAST_S = 0.05
+MIN_RETRY_AFTER_S = 0.05
+"""Lower bound of every retry time."""
 
 
 def after_refusal_s(left_s: float) -> float:
-    """Seconds until upstreams that refuse will likely take the request."""
-    return _within(REFUSED_AFTER_S, left_s)
+    """Return the seconds until upstreams that refused the request will probably take
+    it.
+    """
+    return _within(AFTER_REFUSAL_S, left_s)
 
 
 def without_upstream_s(left_s: float) -> float:
-    """Seconds until an upstream will likely be known."""
+    """Return the seconds until an upstream will probably be known."""
     return _within(NO_UPSTREAM_AFTER_S, left_s)
 
 
 def no_room_s(left_s: float, rng: random.Random, turn_s: float | None = None) -> float:
-    """Seconds until engines that are full will likely have room.
+    """Return the seconds until full engines will probably have capacity.
 
-    ``turn_s`` is when one that limits its rate takes the next request of this gateway;
-    others may take one sooner.
+    ``turn_s`` is the time until the first rate limit of an upstream permits another
+    request of this gateway; an upstream without a limit may have capacity sooner.
     """
     after_s = NO_ROOM_AFTER_S if turn_s is None else min(turn_s, NO_ROOM_AFTER_S)
-    spread = rng.uniform(1.0 - SPREAD_PART, 1.0 + SPREAD_PART)
-    return _within(after_s * spread, left_s)
+    jitter = rng.uniform(1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION)
+    return _within(after_s * jitter, left_s)
 
 
-def _within(wanted_s: float, left_s: float) -> float:
-    return max(LEAST_S, min(wanted_s, left_s * PART_OF_LEFT))
+def _within(after_s: float, left_s: float) -> float:
+    return max(MIN_RETRY_AFTER_S, min(after_s, left_s * PART_OF_LEFT))
--- a/gooseberrydale/request/demand.py
+++ b/gooseberrydale/request/demand.py
@@ -1,9 +1,10 @@
-"""How many homes the requests for a prefix call for, before a wait shows.
+"""Computes how many preferred upstreams a prefix needs for its rate of requests.
 
-An entry sees only its share of the requests for a hot prefix, and hears of a wait
-seconds after it has built up.  But it can count: its own rate of requests, times the
-entries that share the traffic, times what each of them leaves to compute, says how
-many upstreams they keep busy.  Pure; a part of the router's state.
+An entry receives only its share of the requests for a popular prefix, and is informed
+of a queue seconds after it has built up. But its own rate of requests, times the number
+of entries that share the traffic, times the work that each request leaves to compute,
+gives the number of upstreams that the prefix keeps busy. Pure; part of the router's
+state.
 """
 
 from __future__ import annotations
@@ -12,39 +13,41 @@
 from collections import OrderedDict
 
 RATE_WINDOW_S = 2.0
-# The part of an upstream's time that one prefix may take from each of its homes.
-TARGET_USE = 0.6
-# Requests within the window; fewer say nothing about a rate.
-MIN_SEEN = 1.8
-KEPT_PREFIXES = 4_096
+# Fraction of its time that a preferred upstream may spend on one prefix.
+TARGET_UTILIZATION = 0.6
+# Requests within the window; fewer are too few to estimate a rate.
+MIN_REQUESTS = 1.8
+MAX_TRACKED_PREFIXES = 4_096
 
 
-class Demand:
-    """Rates of requests by prefix, fading and bounded."""
+class PrefixRates:
+    """Rates of requests by prefix; counts decay, and their number is bounded."""
 
     def __init__(self) -> None:
-        self._seen: OrderedDict[bytes, tuple[float, float]] = OrderedDict()
+        self._counts: OrderedDict[bytes, tuple[float, float]] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._seen)
+        return len(self._counts)
 
     def count(self, prefix: bytes, now: float) -> float:
-        """Count one request; return how many there were in the window."""
-        seen, at = self._seen.get(prefix, (0.0, now))
-        seen = seen * math.exp((at - now) / RATE_WINDOW_S) + 1.0
-        self._seen[prefix] = (seen, now)
-        self._seen.move_to_end(prefix)
-        if len(self._seen) > KEPT_PREFIXES:
-            self._seen.popitem(last=False)
-        return seen
-
-
-def homes_needed(seen: float, entries: int, compute_s: float) -> int:
-    """Return the homes for ``seen`` requests at each of ``entries`` in the window.
-
-    ``compute_s`` is what one request leaves to compute at a home, in seconds.
+        """Count one request; return the decayed number of requests in the window."""
+        requests, counted_at = self._counts.get(prefix, (0.0, now))
+        requests = requests * math.exp((counted_at - now) / RATE_WINDOW_S) + 1.0
+        self._counts[prefix] = (requests, now)
+        self._counts.move_to_end(prefix)
+        if len(self._counts) > MAX_TRACKED_PREFIXES:
+            self._counts.popitem(last=False)
+        return requests
+
+
+def preferred_needed(requests: float, entries: int, compute_s: float) -> int:
+    """Return the number of upstreams for ``requests`` at each of ``entries`` in a
+    window.
+
+    ``compute_s`` is the time that one request leaves to compute at a preferred
+    upstream, in seconds.
     """
-    if seen < MIN_SEEN:
+    if requests < MIN_REQUESTS:
         return 1
-    use = seen / RATE_WINDOW_S * entries * compute_s
-    return max(1, math.ceil(use / TARGET_USE))
+    busy_upstreams = requests / RATE_WINDOW_S * entries * compute_s
+    return max(1, math.ceil(busy_upstreams / TARGET_UTILIZATION))
--- a/gooseberrydale/request/draining.py
+++ b/gooseberrydale/request/draining.py
@@ -1,9 +1,9 @@
-"""Decides what a gateway that was told to stop still takes.  Pure.
+"""Decides which requests a draining gateway still accepts. Pure.
 
-It answers a rolling restart under load.  Callers reach the gateway until the balancer
-has seen that it is not ready, over kept connections a moment longer, and what they send
-has to end before the process is killed.  A request that may last longer than that goes
-to another gateway, but only once coming back would not lead here again.
+During a rolling restart, callers reach the gateway until the balancer has noticed that
+it is not ready, and a moment longer over keep-alive connections. Accepted requests have
+to end before the process is killed. A request that may last longer is refused with a
+retry time, but only once a retry would reach another gateway.
 """
 
 from __future__ import annotations
@@ -12,28 +12,31 @@
 
 from gooseberrydale.request.gateway_call import Prompt
 
-LAST_LISTED_S = 0.4
-"""The end of the time in which the balancer may still send callers here.  Who is sent
-away then is back, elsewhere, within the usual objective of a stream; earlier it would
-meet this gateway again, with one try less."""
+REFUSAL_WINDOW_S = 0.4
+"""Requests are refused only within this time before the balancer stops sending callers
+here, and after it. A caller refused then reaches another gateway within the usual
+objective of a stream. Refused earlier, it would reach this gateway again and have used
+up one of its retries."""
 
-SETTLE_S = 0.05
-"""Added to that time, so that the caller does not come back just before its end."""
+RETRY_MARGIN_S = 0.05
+"""Added to the retry time, so that the caller does not retry just before the balancer
+has stopped."""
 
 FIRST_EVENT_S = 1.0
-"""A first event comes within this on an engine that is busy, but not given up."""
+"""Longest time to the first event on a busy engine that is still usable."""
 
-SLOW_TOKEN_S = 0.04
-"""Between two tokens on a crowded engine: a guess from one stream that took 5.8 s and
-was moved once; how many of its kind's 192 tokens at most it made was not noted."""
+SLOW_TOKEN_INTERVAL_S = 0.04
+"""Time between two tokens on a crowded engine. It is a guess from one stream, which
+took 5.8 s and was moved once; it was not noted how many of the at most 192 tokens it
+had."""
 
 
 @dataclass(frozen=True, slots=True)
 class Drain:
-    """The times of the loop at which a drain comes to its stages.
+    """The times of the loop's clock at which the stages of a drain end.
 
     The balancer may send callers until ``listed_until``; answers that are open at
-    ``cut_at`` are cut.
+    ``cut_at`` are aborted.
     """
 
     listed_until: float
@@ -43,19 +46,20 @@
 def come_back_s(
     drain: Drain, now: float, wait_s: float, prompt: Prompt | None
 ) -> float | None:
-    """Seconds after which a request is to come back; None if it is taken.
+    """Return the seconds after which to retry a request; None if it is accepted.
 
-    ``wait_s`` is how long it may last at most; ``prompt`` what a model is asked.
+    ``wait_s`` is the longest time that its caller waits; ``prompt`` is None for
+    requests without a model.
     """
     listed_s = drain.listed_until - now
-    if listed_s > LAST_LISTED_S:
+    if listed_s > REFUSAL_WINDOW_S:
         return None
     if _longest_s(wait_s, prompt) <= drain.cut_at - now:
         return None
-    return max(0.0, listed_s) + SETTLE_S
+    return max(0.0, listed_s) + RETRY_MARGIN_S
 
 
 def _longest_s(wait_s: float, prompt: Prompt | None) -> float:
     if prompt is None:
         return wait_s
-    return min(wait_s, FIRST_EVENT_S + prompt.max_new_tokens * SLOW_TOKEN_S)
+    return min(wait_s, FIRST_EVENT_S + prompt.max_new_tokens * SLOW_TOKEN_INTERVAL_S)
--- a/gooseberrydale/request/freshness.py
+++ b/gooseberrydale/request/freshness.py
@@ -1,8 +1,9 @@
-"""Tells whether this process may know less than its peers would tell it at once.
+"""Lets requests wait briefly while this process may lack data that its peers have.
 
-That is so just after its start, and after a stall: while the process was frozen it
-heard no renewals, so the leases that ended meanwhile say nothing.  A request may then
-wait a moment for news before it is refused.  Lives as long as the process.
+This is so just after its start, and after a stall: a frozen process receives no lease
+renewals, so leases that have expired meanwhile don't mean that their owners have
+failed. A request may then wait a moment for updates before it is refused. One per
+process.
 """
 
 from __future__ import annotations
@@ -10,41 +11,44 @@
 import asyncio
 from collections.abc import Callable
 
-FRESH_S = 5.0
+GRACE_PERIOD_S = 5.0
 TICK_S = 1.0
-# A third of a lease; no lease that was renewed in time ends within a shorter gap.
+# A third of a lease: a lease that was renewed in time does not expire within a shorter
+# gap.
 STALL_S = 2.0
 MAX_WAIT_S = 1.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class Freshness:
-    """Fresh for a while after the start and after each stall; times are the loop's.
+    """Active for a while after the start and after each stall; times are the loop's.
 
-    ``tick`` is to be called each ``TICK_S`` seconds; a gap of more than ``STALL_S``
-    since the last tick is a stall, whoever notices it first.
+    ``tick`` must be called every ``TICK_S`` seconds. A gap of more than ``STALL_S``
+    since the last tick is a stall, whether the next tick or a request detects it.
     """
 
     def __init__(self, now: float) -> None:
         self._ticked_at = now
-        self._fresh_until = now + FRESH_S
+        self._active_until = now + GRACE_PERIOD_S
 
     def tick(self, now: float) -> None:
-        """Note that the process runs."""
+        """Record that the process runs, and detect a stall."""
         if now - self._ticked_at > STALL_S:
-            self._fresh_until = now + FRESH_S
+            self._active_until = now + GRACE_PERIOD_S
         self._ticked_at = now
 
-    def is_fresh(self, now: float) -> bool:
-        """Whether news may still be on its way."""
+    def is_active(self, now: float) -> bool:
+        """Whether updates from peers may still be missing."""
         self.tick(now)
-        return now <= self._fresh_until
+        return now <= self._active_until
 
-    async def wait_for(self, known: Callable[[], bool]) -> None:
-        """Return once ``known`` holds, or at once, or after a moment if fresh."""
+    async def wait_for(self, condition: Callable[[], bool]) -> None:
+        """Return once ``condition`` holds; waits only while active, up to
+        ``MAX_WAIT_S``.
+        """
         loop = asyncio.get_running_loop()
-        if known() or not self.is_fresh(loop.time()):
+        if condition() or not self.is_active(loop.time()):
             return
         until = loop.time() + MAX_WAIT_S
-        while not known() and loop.time() < until:
-            await asyncio.sleep(POLL_S)
+        while not condition() and loop.time() < until:
+            await asyncio.sleep(POLL_INTERVAL_S)
--- a/gooseberrydale/request/gate.py
+++ b/gooseberrydale/request/gate.py
@@ -1,19 +1,21 @@
-"""Decides whether an attempt may start: the one place with exact knowledge.
-
-Lives as long as the sidecar; each attempt's record lives from its dispatch or its
-cancellation until ``keep_s`` after it ended.  Pure: time comes in as an argument.
-
-An attempt is named by (request id, attempt, incarnation).  It starts at most once,
-and one that was given up or refused never starts.  That a record may be dropped at
-all rests on two bounds.  An entry builds the dispatch of an attempt before its
-request's deadline has passed, by its own clock, which also runs while it is paused.
-And a dispatch names the announcement of this sidecar that it is based on; however
-long it lingers in a paused entry or on the way, it is refused once that announcement
-is older than ``MAX_DISPATCH_AGE_S`` by this sidecar's clock.  So a tombstone has to
-outlive a deadline plus that age, and a margin for announcements that were old when
-the dispatch was built.  A cancellation names that announcement too: only while the
-record of such a dispatch would still be here does an unknown attempt count as one
-that never ran.
+"""Decides whether an attempt may start; the only place with exact knowledge of
+attempts.
+
+One per sidecar. The record of an attempt exists from its dispatch or cancellation until
+``retention_s`` after its end. Pure: the current time is an argument.
+
+An attempt is identified by (request id, attempt, incarnation). It starts at most once,
+and an attempt that was cancelled or refused never starts. Records can be dropped safely
+because of two bounds. First, an entry builds the dispatch of an attempt before its
+request's deadline has passed, by its own clock, which also runs while the entry is
+paused. Second, a dispatch names the announcement of this sidecar that it is based on;
+however long it is delayed in a paused entry or on the network, it is refused once that
+announcement is older than ``MAX_DISPATCH_AGE_S`` by this sidecar's clock. So a
+tombstone has to be retained for a deadline plus that age, and a margin for
+announcements that were already old when the dispatch was built.
+
+A cancellation names that announcement too: an unknown attempt counts as never started
+only while the record of a dispatch based on that announcement would still be retained.
 """
 
 from __future__ import annotations
@@ -39,26 +41,26 @@
 )
 
 MAX_DISPATCH_AGE_S = 60.0
-MARGIN_S = 60.0
+RETENTION_MARGIN_S = 60.0
 DEFAULT_DEADLINE_S = 30.0
 
 Key = tuple[str, int]
 
 
 class Phase(Enum):
-    """Where an attempt stands."""
+    """The state of an attempt."""
 
     WAITING = "waiting"
     RUNNING = "running"
     FINISHED = "finished"
-    # Refused from now on, and never ran.
+    # Refused from now on; it has never run.
     TOMBSTONE = "tombstone"
-    # Refused from now on; whether it ran before is forgotten.
+    # Refused from now on; the record that would show whether it ran is dropped.
     BARRED = "barred"
 
 
 class Verdict(Enum):
-    """What a cancellation found, and so what is left to do."""
+    """The result of a cancellation, which decides what is left to do."""
 
     NEVER_STARTS = "never_starts"
     TAKEN_FROM_QUEUE = "taken_from_queue"
@@ -93,70 +95,74 @@
         self._shutting_down = False
         self._longest_deadline_s = DEFAULT_DEADLINE_S
         self._issued: deque[tuple[int, float]] = deque()
-        self._forgot = False
+        self._has_expired = False
 
     def __len__(self) -> int:
         return len(self._attempts)
 
     @property
     def unfinished(self) -> int:
-        """Count of attempts that wait or run."""
+        """Number of attempts that wait or run."""
         open_phases = (Phase.WAITING, Phase.RUNNING)
         return sum(a.phase in open_phases for a in self._attempts.values())
 
     def phase(self, key: Key) -> Phase | None:
-        """Where the attempt stands; None if it is not known."""
-        found = self._attempts.get(key)
-        return None if found is None else found.phase
+        """Return the state of the attempt; None if it has no record."""
+        attempt = self._attempts.get(key)
+        return None if attempt is None else attempt.phase
 
     @property
-    def keep_s(self) -> float:
-        """How long records are kept after their attempts ended, in seconds."""
-        return self._longest_deadline_s + MAX_DISPATCH_AGE_S + MARGIN_S
+    def retention_s(self) -> float:
+        """How long records are retained after their attempts ended, in seconds."""
+        return self._longest_deadline_s + MAX_DISPATCH_AGE_S + RETENTION_MARGIN_S
 
     def allow_deadline(self, deadline_s: float) -> None:
-        """Note the deadline of a profile; it only ever makes records live longer."""
+        """Extend the retention to cover the deadline of a profile; it never shrinks."""
         self._longest_deadline_s = max(self._longest_deadline_s, deadline_s)
 
     def announced(self, seq: int, now: float) -> None:
-        """Note that the announcement ``seq`` goes out now."""
+        """Record that the announcement ``seq`` is sent now."""
         if self._issued and seq <= self._issued[-1][0]:
             return
         self._issued.append((seq, now))
-        while self._issued[0][1] <= now - self.keep_s:
+        while self._issued[0][1] <= now - self.retention_s:
             self._issued.popleft()
 
     def _is_stale(self, seq: int, now: float) -> bool:
-        """Not to state an announcement is harmless only while no record is gone."""
+        """Whether a dispatch is based on an announcement that is too old.
+
+        A dispatch that names none is accepted only until the first record has been
+        dropped.
+        """
         if seq == 0:
-            return self._forgot
+            return self._has_expired
         issued_at = self._issued_at(seq)
         return issued_at is None or now > issued_at + MAX_DISPATCH_AGE_S
 
     def _issued_at(self, seq: int) -> float | None:
         return next((at for issued, at in self._issued if issued == seq), None)
 
-    def _would_know(self, seq: int, now: float) -> bool:
-        """Whether the record of a dispatch based on ``seq`` would still be here."""
-        if not self._forgot:
+    def _record_retained(self, seq: int, now: float) -> bool:
+        """Whether the record of a dispatch based on ``seq`` would still be retained."""
+        if not self._has_expired:
             return True
         issued_at = self._issued_at(seq)
-        return issued_at is not None and now < issued_at + self.keep_s
+        return issued_at is not None and now < issued_at + self.retention_s
 
     def shut(self) -> None:
-        """Refuse all that comes from now on."""
+        """Refuse every attempt offered from now on."""
         self._shutting_down = True
 
     def offer(
         self, req: DispatchReq, now: float, *, leaving: bool
     ) -> Result[Key, Problem]:
-        """Take the attempt as waiting, or say why it never starts here."""
+        """Record the attempt as waiting, or return why it never starts here."""
         self.expire(now)
         self.allow_deadline(req.deadline_s)
         key = (req.request_id, req.attempt)
         refusal = self._refusal(req, now, leaving)
         if refusal is not None:
-            self._bar(key, req, now)
+            self._reject_later_starts(key, req, now)
             return Err(refusal)
         self._attempts[key] = _Attempt(Phase.WAITING, req.workspace, req.repeatable)
         return Ok(key)
@@ -178,7 +184,7 @@
         if self._is_stale(req.record_seq, now):
             return problem(
                 STALE_DISPATCH,
-                not_run=True if self._would_know(req.record_seq, now) else None,
+                not_run=True if self._record_retained(req.record_seq, now) else None,
                 seq=req.record_seq,
                 limit_s=MAX_DISPATCH_AGE_S,
             )
@@ -199,76 +205,80 @@
             request_id=req.request_id,
         )
 
-    def _bar(self, key: Key, req: DispatchReq, now: float) -> None:
-        """A refused attempt is said not to have run, so it must not run later."""
+    def _reject_later_starts(self, key: Key, req: DispatchReq, now: float) -> None:
+        """Make sure that a refused attempt, which is reported as not run, never runs
+        later.
+        """
         if req.incarnation == self._incarnation and key not in self._attempts:
-            sure = self._would_know(req.record_seq, now)
-            phase = Phase.TOMBSTONE if sure else Phase.BARRED
+            record_retained = self._record_retained(req.record_seq, now)
+            phase = Phase.TOMBSTONE if record_retained else Phase.BARRED
             self._attempts[key] = _Attempt(phase, req.workspace, req.repeatable)
-            self._ended.append((now + self.keep_s, key))
+            self._ended.append((now + self.retention_s, key))
 
     def start(self, key: Key) -> None:
-        """Note that the attempt goes to the upstream."""
-        found = self._attempts.get(key)
-        if found is None or found.phase is not Phase.WAITING:
+        """Record that the attempt is sent to the upstream."""
+        attempt = self._attempts.get(key)
+        if attempt is None or attempt.phase is not Phase.WAITING:
             raise InvariantError(
-                f"attempt {key} would start from {found and found.phase}, not waiting"
+                f"attempt {key} can't start: phase is "
+                f"{attempt and attempt.phase}, must be waiting"
             )
-        found.phase = Phase.RUNNING
+        attempt.phase = Phase.RUNNING
 
     def withdraw(self, key: Key, now: float) -> None:
-        """Note that a waiting attempt was refused and never starts."""
+        """Record that a waiting attempt was refused and never starts."""
         self._end(key, Phase.WAITING, Phase.TOMBSTONE, now)
 
     def finish(self, key: Key, now: float) -> None:
-        """Note that a running attempt is over."""
+        """Record that a running attempt has ended."""
         self._end(key, Phase.RUNNING, Phase.FINISHED, now)
 
-    def _end(self, key: Key, wanted: Phase, phase: Phase, now: float) -> None:
-        found = self._attempts.get(key)
-        if found is None or found.phase is not wanted:
+    def _end(self, key: Key, required: Phase, phase: Phase, now: float) -> None:
+        attempt = self._attempts.get(key)
+        if attempt is None or attempt.phase is not required:
             raise InvariantError(
-                f"attempt {key} would end from {found and found.phase}, not {wanted}"
+                f"attempt {key} can't end: phase is "
+                f"{attempt and attempt.phase}, must be {required}"
             )
-        found.phase = phase
-        self._ended.append((now + self.keep_s, key))
+        attempt.phase = phase
+        self._ended.append((now + self.retention_s, key))
 
     def cancel(self, req: CancelReq, now: float) -> Verdict:
-        """Give an attempt up; an unknown one is barred from starting later."""
+        """Cancel an attempt; one without a record is kept from starting later."""
         self.expire(now)
         if req.incarnation != self._incarnation:
             return Verdict.WRONG_INCARNATION
         key = (req.request_id, req.attempt)
-        found = self._attempts.get(key)
-        if found is None:
+        attempt = self._attempts.get(key)
+        if attempt is None:
             return self._cancel_unknown(key, req, now)
-        if found.workspace != req.workspace:
+        if attempt.workspace != req.workspace:
             return Verdict.WRONG_WORKSPACE
-        return self._cancel_known(key, found, now)
+        return self._cancel_known(key, attempt, now)
 
     def _cancel_unknown(self, key: Key, req: CancelReq, now: float) -> Verdict:
-        """It can't start any more; whether it ran long ago may be forgotten."""
-        sure = self._would_know(req.record_seq, now)
-        phase = Phase.TOMBSTONE if sure else Phase.BARRED
+        """Refuse the attempt from now on; a record of an earlier run may be dropped."""
+        record_retained = self._record_retained(req.record_seq, now)
+        phase = Phase.TOMBSTONE if record_retained else Phase.BARRED
         self._attempts[key] = _Attempt(phase, req.workspace, False)
-        self._ended.append((now + self.keep_s, key))
-        return Verdict.NEVER_STARTS if sure else Verdict.UNKNOWN
+        self._ended.append((now + self.retention_s, key))
+        return Verdict.NEVER_STARTS if record_retained else Verdict.UNKNOWN
 
-    def _cancel_known(self, key: Key, found: _Attempt, now: float) -> Verdict:
-        if found.phase is Phase.WAITING:
+    def _cancel_known(self, key: Key, attempt: _Attempt, now: float) -> Verdict:
+        if attempt.phase is Phase.WAITING:
             self.withdraw(key, now)
             return Verdict.TAKEN_FROM_QUEUE
-        if found.phase is Phase.RUNNING:
-            return Verdict.STOP if found.repeatable else Verdict.RUNS_ON
-        if found.phase is Phase.FINISHED:
+        if attempt.phase is Phase.RUNNING:
+            return Verdict.STOP if attempt.repeatable else Verdict.RUNS_ON
+        if attempt.phase is Phase.FINISHED:
             return Verdict.OVER
-        if found.phase is Phase.BARRED:
+        if attempt.phase is Phase.BARRED:
             return Verdict.UNKNOWN
         return Verdict.NEVER_STARTS
 
     def expire(self, now: float) -> None:
-        """Drop records that ended long enough ago."""
+        """Drop the records whose retention time is over."""
         while self._ended and self._ended[0][0] <= now:
             _, key = self._ended.popleft()
             del self._attempts[key]
-            self._forgot = True
+            self._has_expired = True
--- a/gooseberrydale/request/pace.py
+++ b/gooseberrydale/request/pace.py
@@ -1,7 +1,8 @@
-"""Spaces the starts of work at one upstream as it asks for.  Pure.
+"""Limits the rate at which work starts at one upstream, as the upstream asks for. Pure.
 
-A token bucket keeps the limit of its rate.  It begins empty when a limit is named: what
-the upstream got before is not counted.  Nothing starts while the upstream wants none.
+A token bucket enforces the rate limit. It starts empty when a limit is set, as the
+requests sent before are not counted. Nothing starts during a backoff that the upstream
+asks for.
 """
 
 from __future__ import annotations
@@ -9,14 +10,15 @@
 import math
 
 AT_ONCE = 2.0
-"""Requests that may be saved up, beside those of a second."""
+"""Requests that may be saved up in the bucket, beyond those of one second."""
 
 LEAST_PER_S = 0.25
-"""An upstream that takes less is still asked this often whether its limit holds."""
+"""Lowest rate. An upstream with a lower limit is still sent requests this often, to
+find out whether its limit still holds."""
 
 
 class Pace:
-    """Starts of one upstream; times are seconds of the loop."""
+    """Limits the starts at one upstream; times are seconds of the loop's clock."""
 
     def __init__(self) -> None:
         self._per_s: float | None = None
@@ -25,11 +27,11 @@
         self._backoff_until = -math.inf
 
     def back_off(self, for_s: float, now: float) -> None:
-        """The upstream wants no work for a time."""
+        """Start nothing for ``for_s`` seconds, as the upstream has asked."""
         self._backoff_until = max(self._backoff_until, now + for_s)
 
     def limit(self, per_s: float | None, now: float) -> None:
-        """The upstream takes ``per_s`` requests a second; any number if it is None."""
+        """Limit the starts to ``per_s`` a second; None removes the limit."""
         if per_s is None:
             self._per_s = None
             return
@@ -39,7 +41,7 @@
         self._per_s = max(LEAST_PER_S, per_s)
 
     def wait_s(self, now: float, ahead: int = 0) -> float:
-        """Seconds until work may start that has ``ahead`` others before it."""
+        """Return the seconds until work may start that is behind ``ahead`` others."""
         backoff_s = max(0.0, self._backoff_until - now)
         if self._per_s is None:
             return backoff_s
@@ -47,7 +49,7 @@
         return max(backoff_s, (ahead + 1.0 - self._level) / self._per_s)
 
     def start(self, now: float) -> None:
-        """Work starts."""
+        """Record that work starts."""
         if self._per_s is not None:
             self._fill(now)
             self._level -= 1.0
--- a/gooseberrydale/request/placement.py
+++ b/gooseberrydale/request/placement.py
@@ -1,11 +1,14 @@
-"""Chooses the upstream that a forwarded request is sent to.  Pure.
-
-Every upstream that may take the request has an expected time to its first event, from
-the work before it and from what of the prompt is probably not cached there; the one
-with the least is taken.  A shared prefix has a home, which every entry finds by the
-same hash, so that it is computed once and found again without any exchange.  The
-figures answer a load at which engines are seldom full: then the homes decide; where a
-home is busy for longer than computing the prefix anew takes, the next one helps out.
+"""Chooses the upstream that a forwarded request is sent to. Pure.
+
+Each eligible upstream has an expected time to the request's first event, from the work
+queued there and from how much of the prompt is probably not in its cache; the upstream
+with the lowest time is chosen. A prefix that many prompts share has a preferred
+upstream, which every gateway computes with the same rendezvous hash, so that the prefix
+is computed once and found again without communication.
+
+The constants suit a load at which engines are seldom full, where preferred upstreams
+decide. If one is busy for longer than it takes to recompute the prefix, the next
+preferred upstream is used.
 """
 
 from __future__ import annotations
@@ -19,86 +22,96 @@
 from gooseberrydale.version.upstream_load import Load, Work
 
 PREFILL_TOKENS_PER_S = 40_000.0
-"""Prompt tokens that an engine gets through in a second beside its decoding.  Measured:
-the median first event came after 70 ms with 2,890 tokens and nothing before them, after
-170 with 5,000 to 10,000 before, 310 to 350 with 10,000 to 15,000, 835 with 30,000; the
-sheets' 110,000 are those of a prompt alone."""
+"""Prompt tokens that an engine computes in a second while it decodes other requests.
+Median times to the first event: 70 ms with 2,890 tokens and no others queued, 170 ms
+with 5,000 to 10,000 tokens queued, 310 to 350 ms with 10,000 to 15,000, 835 ms with
+30,000. The 110,000 of the data sheets hold for a prompt that runs alone."""
 
 OWN_TOKENS_PER_S = 70_000.0
-"""The same for the request's own prompt, which nothing else then interrupts."""
+"""The same rate for the request's own prompt, which nothing interrupts once it has
+started."""
 
-RUN_SLOWDOWN_S = 0.0005
-"""What each request that runs beside adds: 20 more requests made 10 ms."""
+SLOWDOWN_PER_REQUEST_S = 0.0005
+"""Added by each request that runs on the same engine: 20 more requests add 10 ms."""
 
 SERVICE_RUN_S = 0.06
-"""Mean time that a request holds a place at a plain service."""
+"""Mean time that a request occupies a slot of a service that runs no model."""
 
 FETCH_TOKENS_PER_S = 200_000.0
-"""Prompt tokens that an engine gets in a second from a store: 420 Gbit/s at 192,512
-bytes a token are 272,000, half of that between zones."""
+"""Prompt tokens that an engine fetches in a second from a store: 420 Gbit/s at 192,512
+bytes a token give 272,000; between zones it is half of that."""
 
 RECOMPUTE_WEIGHT = 2.0
-"""What is computed twice also takes the place of other work, so it counts twice."""
+"""Weight of recomputing a cached prefix. It counts twice, as it also displaces other
+work."""
 
-OLD_WEIGHTS_S = 0.15
-"""An answer on old weights is worth less once callers expect the newer ones; an engine
-that has them may take this much longer."""
+OLD_WEIGHTS_PENALTY_S = 0.15
+"""Penalty of outdated weights once callers expect the newer ones: an engine with the
+newer weights may take this much longer and is still preferred."""
 
-OLD_WEIGHTS_AT_ONCE_S = 0.03
-"""The same for weights that were overtaken just now: what is computed under them is of
-no use to later requests."""
+JUST_REPLACED_WEIGHTS_PENALTY_S = 0.03
+"""Penalty of weights that were replaced just now: what is cached under them is useless
+to later requests."""
 
-OLD_WEIGHTS_AFTER_S = 1.5
-"""Callers expect new weights this long after they were named."""
+OLD_WEIGHTS_GRACE_S = 1.5
+"""Callers expect new weights this long after they were announced."""
 
-MOVE_PART = 0.25
-MOST_MOVE_S = 0.4
-"""An engine on overtaken weights will be emptied for its change, within seconds: a run
-that goes on there then is moved, which costs a retry and computing its prompt again, or
-holds the change up.  The longer the run, the likelier: runs of 1.6 s count 0.4 s, those
-of 0.2 s next to nothing."""
+MOVE_COST_FRACTION = 0.25
+MAX_MOVE_COST_S = 0.4
+"""Cost of having to move a request, as a fraction of its expected run time, and its
+upper bound. An engine with outdated weights is drained within seconds to load the new
+ones. A request still running there is moved, which costs a retry and computing its
+prompt again, or it delays the change. Longer runs are more likely to be hit: a run of
+1.6 s costs 0.4 s, one of 0.2 s almost nothing."""
 
-ERROR_S = 0.6
-"""What a share of failures of 1 counts: a failed run costs the request, and a second
-send takes about this long."""
+ERROR_PENALTY_S = 0.6
+"""Penalty of an error share of 1. A failed attempt costs the request a second one,
+which takes about this long."""
 
-ORDINARY_ERROR_SHARE = 0.25
-"""Failures that services give by themselves; a lower share says nothing."""
+BASELINE_ERROR_SHARE = 0.25
+"""Error share that services have in normal operation; a lower share is ignored."""
 
-FAR_S = 0.002
-"""Another availability zone: a round trip of two milliseconds, and bytes that cost."""
+OTHER_ZONE_PENALTY_S = 0.002
+"""Penalty of another availability zone: a round trip of two milliseconds, and traffic
+that is charged for."""
 
-MEMORY_PART = 0.75
-"""Above this part of an engine's memory requests preempt each other."""
+MEMORY_FRACTION = 0.75
+"""Above this fraction of an engine's memory requests preempt each other."""
 
-SMALL_POOL = 9
-"""Up to this many candidates are all weighed."""
+SMALL_POOL_SIZE = 9
+"""In a pool up to this size all candidates are compared."""
 
-NEAR_HOMES = 2
-OTHERS = 2
-"""In a larger pool the first homes of the prefix and some drawn by lot are weighed.
-Gateways hear of each other's choices some 80 ms late there; were all of them weighed by
-all gateways, what came within that time would meet at the one that seems least busy."""
+PREFERRED_WEIGHED = 2
+RANDOM_WEIGHED = 2
+"""In a larger pool only the most preferred upstreams of the prefix and some random ones
+are compared. Gateways receive each other's choices about 80 ms late there; if all
+gateways compared all upstreams, the requests of those 80 ms would all be sent to the
+one that looks least busy."""
 
-SPARE_PART = 0.7
-"""A request that can't be in time any more takes room up to this part of what others
-may: it must not make those late that came after it."""
+SPARE_FRACTION = 0.7
+"""A request that can no longer meet its objective uses capacity only up to this
+fraction of what others may use, so that it does not make requests late that arrived
+after it."""
 
-FULL_S = 2.0
-"""Waiting for memory or a place of a full engine takes about a run."""
+FULL_PENALTY_S = 2.0
+"""Expected wait at an engine without free memory or slots: about the run time of a
+request."""
 
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """One upstream that may take the request, as this entry sees it now.
-
-    ``weights`` names what computed its cache: prefixes are found under the same alone.
-
-    ``slots`` and ``kv_tokens`` are its size, 0 if not known.  ``home_rank`` is its
-    place among the homes of the shared prefix, ``stored`` that a store holds it for
-    its weights, ``store_heard`` that one would have told if it did, ``old_for_s`` for
-    how long newer weights are named, ``far`` that it is in another availability zone.
-    ``usable`` is False while it is suspected to be dead or carries out an order.
+    """An upstream that is eligible for the request, as this gateway sees it now.
+
+    ``weights`` identifies the weights that computed its cache; a prefix is found only
+    under the same weights. ``slots`` and ``kv_tokens`` are its capacity, 0 if unknown.
+    ``home_rank`` is its position in the preference order of the shared prefix, 0 for
+    the preferred upstream.
+
+    ``stored`` says that a store holds the prefix for the upstream's weights,
+    ``store_heard`` that a store reports what it holds, so that ``stored`` can be relied
+    on when it is False. ``old_for_s`` is the time since newer weights were announced,
+    ``far`` says that the upstream is in another availability zone. ``usable`` is False
+    while it is suspected to have failed or carries out an order.
     """
 
     name: str
@@ -118,23 +131,24 @@
     def lacks_prefix(self) -> bool:
         """Whether the shared prefix has to be computed there.
 
-        What a home has computed is in the store soon after; so if the store is heard
-        and does not hold it, the home has not computed it for its weights either.  It
-        answers the seconds after a change of weights, in which six of ten prompts were
-        the first under the new ones and counted as less than half of their work: over
-        ten spans of two seconds 0.66 is earned of what is owed for 0.61 before.
+        A prefix that its preferred upstream has computed is in the store soon after. So
+        if a store reports and does not hold it, the preferred upstream has not computed
+        it for its weights either. This matters in the seconds after a change of
+        weights: six of ten prompts are the first under the new weights then, and would
+        be counted as less than half of their work. Over ten intervals of two seconds,
+        0.66 of the possible value was delivered with this rule, and 0.61 without it.
         """
         return not self.stored and (self.home_rank > 0 or self.store_heard)
 
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What the request needs: tokens of its own and of what others share with it.
+    """What a request needs: tokens of its own, and tokens that other prompts share.
 
-    ``common_tokens`` begin so many prompts that every engine is taken to hold them;
-    ``shared_tokens`` follow, and lie at their home.  ``run_s`` is how long requests of
-    its kind go on after their first event.  With ``spare_only`` it takes only room that
-    others can spare.
+    ``common_tokens`` start so many prompts that every engine is assumed to have them
+    cached; ``shared_tokens`` follow, and are cached at their preferred upstream.
+    ``run_s`` is how long requests of this kind run after their first event. With
+    ``spare_only`` the request uses only capacity that others can spare.
     """
 
     own_tokens: int = 0
@@ -146,17 +160,17 @@
 
     @property
     def is_prompt(self) -> bool:
-        """Whether a model is asked."""
+        """Whether the request runs on a model."""
         return self.own_tokens + self.shared_tokens + self.common_tokens > 0
 
     @property
     def tokens(self) -> int:
-        """Tokens of memory that the request takes at its end."""
+        """Tokens of KV memory that the request occupies when it ends."""
         prompt = self.own_tokens + self.shared_tokens + self.common_tokens
         return prompt + self.new_tokens
 
     def work_at(self, candidate: Candidate) -> Work:
-        """The work that the request makes at an upstream."""
+        """Return the work that the request adds at an upstream."""
         prefill = self.own_tokens
         if candidate.lacks_prefix:
             prefill += self.shared_tokens
@@ -164,18 +178,19 @@
 
 
 def homes_in_reach(candidates: Iterable[Candidate]) -> list[Candidate]:
-    """The candidates, their ranks as homes counted among those that can be one now.
+    """Rank the candidates among those that can be the preferred upstream now.
 
-    Answers changes of weights and deaths, when the first home of a prefix takes no work
-    or keeps what other weights computed.  Each set of equal weights has homes of its
-    own then, so that what is computed anew is computed at one place.
+    While weights change or an upstream has failed, the preferred upstream of a prefix
+    takes no work, or its cache belongs to other weights. Upstreams are therefore ranked
+    separately for each version of the weights, so that a prefix is recomputed at one
+    place for each.
     """
-    found: list[Candidate] = []
+    ranked: list[Candidate] = []
     ranks: Counter[str] = Counter()
-    for one in sorted(candidates, key=lambda one: (not one.usable, one.home_rank)):
-        found.append(replace(one, home_rank=ranks[one.weights]))
-        ranks[one.weights] += 1
-    return found
+    for candidate in sorted(candidates, key=lambda c: (not c.usable, c.home_rank)):
+        ranked.append(replace(candidate, home_rank=ranks[candidate.weights]))
+        ranks[candidate.weights] += 1
+    return ranked
 
 
 def choose(
@@ -183,35 +198,35 @@
     demand: Demand,
     rng: random.Random,
 ) -> Candidate | None:
-    """The candidate with the least expected time; None if there is none.
+    """Return the candidate with the lowest expected time; None if there is none.
 
-    Those that are not usable are taken only if there is no other one.
+    Candidates that are not usable are considered only if no other is left.
     """
-    usable = [one for one in candidates if one.usable]
-    ranked = _shortlist(usable or candidates, rng)
-    if not ranked:
+    usable = [c for c in candidates if c.usable]
+    shortlist = _shortlist(usable or candidates, rng)
+    if not shortlist:
         return None
-    return min(ranked, key=lambda one: (expected_s(one, demand), one.home_rank))
+    return min(shortlist, key=lambda c: (expected_s(c, demand), c.home_rank))
 
 
 def _shortlist(
     candidates: Sequence[Candidate], rng: random.Random
 ) -> Sequence[Candidate]:
-    """The candidates that are weighed at all."""
-    if len(candidates) <= SMALL_POOL:
+    """Return the candidates whose expected times are compared."""
+    if len(candidates) <= SMALL_POOL_SIZE:
         return candidates
-    by_home = sorted(candidates, key=lambda one: one.home_rank)
-    others = rng.sample(by_home[NEAR_HOMES:], OTHERS)
-    return [*by_home[:NEAR_HOMES], *others]
+    by_preference = sorted(candidates, key=lambda c: c.home_rank)
+    others = rng.sample(by_preference[PREFERRED_WEIGHED:], RANDOM_WEIGHED)
+    return [*by_preference[:PREFERRED_WEIGHED], *others]
 
 
 def queue_s(candidate: Candidate, demand: Demand) -> float:
-    """Seconds that the request waits behind others at a candidate."""
+    """Return the seconds that the request would be queued at a candidate."""
     return _wait_s(candidate, demand)
 
 
 def own_s(candidate: Candidate, demand: Demand) -> float:
-    """Seconds to the first event once nothing is before the request."""
+    """Return the seconds from the end of the queue to the request's first event."""
     if not demand.is_prompt:
         return SERVICE_RUN_S
     tokens = demand.own_tokens
@@ -221,17 +236,21 @@
 
 
 def expected_s(candidate: Candidate, demand: Demand) -> float:
-    """Seconds to the first event, and what else speaks against a candidate."""
+    """Return the seconds to the first event, plus penalties of the candidate."""
     seconds = _wait_s(candidate, demand)
     if demand.is_prompt:
         seconds += _prefill_s(candidate, demand)
     if candidate.old_for_s > 0:
-        late = candidate.old_for_s > OLD_WEIGHTS_AFTER_S
-        seconds += OLD_WEIGHTS_S if late else OLD_WEIGHTS_AT_ONCE_S
-        seconds += min(MOST_MOVE_S, MOVE_PART * demand.run_s)
+        newer_expected = candidate.old_for_s > OLD_WEIGHTS_GRACE_S
+        seconds += (
+            OLD_WEIGHTS_PENALTY_S if newer_expected else JUST_REPLACED_WEIGHTS_PENALTY_S
+        )
+        seconds += min(MAX_MOVE_COST_S, MOVE_COST_FRACTION * demand.run_s)
     if candidate.far:
-        seconds += FAR_S
-    return seconds + ERROR_S * max(0.0, candidate.error_share - ORDINARY_ERROR_SHARE)
+        seconds += OTHER_ZONE_PENALTY_S
+    return seconds + ERROR_PENALTY_S * max(
+        0.0, candidate.error_share - BASELINE_ERROR_SHARE
+    )
 
 
 def _prefill_s(candidate: Candidate, demand: Demand) -> float:
@@ -240,8 +259,8 @@
         return own_s
     if candidate.stored:
         return own_s + demand.shared_tokens / FETCH_TOKENS_PER_S
-    again_s = demand.shared_tokens / PREFILL_TOKENS_PER_S
-    return own_s + RECOMPUTE_WEIGHT * again_s
+    recompute_s = demand.shared_tokens / PREFILL_TOKENS_PER_S
+    return own_s + RECOMPUTE_WEIGHT * recompute_s
 
 
 def _wait_s(candidate: Candidate, demand: Demand) -> float:
@@ -249,18 +268,18 @@
     if not demand.is_prompt:
         return _service_wait_s(load.requests, candidate.slots)
     seconds = load.prefill_tokens / PREFILL_TOKENS_PER_S
-    seconds += load.requests * RUN_SLOWDOWN_S
-    part = MEMORY_PART * (SPARE_PART if demand.spare_only else 1.0)
-    room = candidate.kv_tokens * part if candidate.kv_tokens else math.inf
-    if load.kv_tokens + demand.tokens > room:
-        seconds += FULL_S
+    seconds += load.requests * SLOWDOWN_PER_REQUEST_S
+    fraction = MEMORY_FRACTION * (SPARE_FRACTION if demand.spare_only else 1.0)
+    capacity = candidate.kv_tokens * fraction if candidate.kv_tokens else math.inf
+    if load.kv_tokens + demand.tokens > capacity:
+        seconds += FULL_PENALTY_S
     if candidate.slots and load.requests >= candidate.slots:
-        seconds += FULL_S
+        seconds += FULL_PENALTY_S
     return seconds
 
 
 def _service_wait_s(requests: float, slots: int) -> float:
-    """Wait for a place; below that, fewer requests run faster."""
-    busy_part = requests / slots if slots else requests
+    """Return the wait for a slot; a service that is less busy also runs faster."""
+    busy_fraction = requests / slots if slots else requests
     waiting = max(0.0, requests + 1 - slots) if slots else 0.0
-    return SERVICE_RUN_S * (busy_part * 0.1 + waiting / max(1, slots))
+    return SERVICE_RUN_S * (busy_fraction * 0.1 + waiting / max(1, slots))
--- a/gooseberrydale/request/retry.py
+++ b/gooseberrydale/request/retry.py
@@ -1,10 +1,10 @@
-"""What an entry does after an attempt did not bring a whole answer.
+"""Decides what an entry does after an attempt that brought no complete answer.
 
-The decision rests on three facts: whether the attempt can have run, whether the
-request may be repeated, and how much of the answer the caller already has.  A
-request that may not be repeated is sent again only if it is known not to have run.
-Attempts beyond the first are paid from a budget that fresh requests fill, so a
-fleet in trouble gets little more load than a healthy one.  Pure.
+The decision depends on three facts: whether the attempt may have run, whether the
+request may be repeated, and how much of the answer the caller has received. A request
+that may not be repeated is sent again only if it is known not to have run. Attempts
+after the first are paid from a budget that fresh requests fill, so failures don't
+multiply the load. Pure.
 """
 
 from __future__ import annotations
@@ -15,24 +15,25 @@
 from gooseberrydale import errors
 from gooseberrydale.errors import Problem, problem
 
-MIN_USEFUL_S = 0.02
+MIN_TIME_LEFT_S = 0.02
 RETRY_AFTER_S = 1.0
 MAX_ATTEMPTS = 6
-# The requests that one upstream may run and queue, lost at once when it fails.
-BURST = 32.0
+# About the number of requests that one upstream runs and queues; all are lost at once
+# when it fails.
+MAX_RETRY_BURST = 32.0
 RETRYABLE_STATUS = frozenset({429, 502, 503, 504})
 RETRYABLE_CODES = frozenset({errors.WRONG_INCARNATION.code, errors.TOMBSTONED.code})
 
 
 class RetryBudget:
-    """Token bucket: each fresh request adds ``ratio``, each retry takes one.
+    """Token bucket: each fresh request adds ``ratio`` tokens, each retry takes one.
 
-    ``floor_per_s`` tokens come in each second whatever the traffic, so that a
-    quiet entry may retry as well; ``cap`` bounds a burst of retries.
+    ``floor_per_s`` tokens are added each second whatever the traffic, so that an entry
+    with few requests may retry as well; ``cap`` limits a burst of retries.
     """
 
     def __init__(
-        self, ratio: float = 0.2, floor_per_s: float = 0.5, cap: float = BURST
+        self, ratio: float = 0.2, floor_per_s: float = 0.5, cap: float = MAX_RETRY_BURST
     ) -> None:
         self._ratio = ratio
         self._floor_per_s = floor_per_s
@@ -42,7 +43,7 @@
 
     @property
     def left(self) -> float:
-        """Tokens that are left."""
+        """Number of tokens in the bucket."""
         return self._tokens
 
     def deposit(self, now: float) -> None:
@@ -51,7 +52,7 @@
         self._tokens = min(self._cap, self._tokens + self._ratio)
 
     def spend(self, now: float) -> bool:
-        """Take one token; False means that no retry may be made now."""
+        """Take one token; return False if no retry may be made now."""
         self._refill(now)
         if self._tokens < 1.0:
             return False
@@ -66,20 +67,20 @@
 
 
 class Cause(StrEnum):
-    """How an attempt came to its end."""
+    """Why an attempt ended without a complete answer."""
 
     REFUSED = "refused"
     """The sidecar answered the dispatch with Refused."""
     NOT_SENT = "not_sent"
-    """No connection: the attempt never left this process."""
+    """There was no connection, so the attempt never left this process."""
     LOST = "lost"
     """The connection failed after the dispatch may have left."""
     SILENT = "silent"
-    """The connection stands, but neither frames nor heartbeats come."""
+    """The connection is open, but neither frames nor heartbeats are received."""
     GAP = "gap"
-    """Frames are missing: the stream must be attached again."""
+    """Frames are missing; the entry must attach to the stream again."""
     FAILED = "failed"
-    """The sidecar reported that the upstream failed before the answer was whole."""
+    """The upstream failed before the end of the answer, as its sidecar reported."""
     TOMBSTONED = "tombstoned"
     """The sidecar confirmed that this attempt did not start and never will."""
 
@@ -88,12 +89,13 @@
 class Outcome:
     """The end of one attempt.
 
-    ``accepted`` says that the sidecar took it, ``delivered`` counts the events that
-    the caller has.  ``attach_tried`` and ``cancel_tried`` say that attaching to this
-    attempt, or confirming that it never ran, was tried in vain since its last frame;
-    the cause stays the one that led there.  ``resumable`` is False if the answer
-    can't be continued from its text (several choices, tool calls, no stream).
-    ``earlier_may_have_run`` is handed on from the step that led to this attempt.
+    ``accepted`` says that the sidecar accepted it; ``delivered`` counts the events that
+    the caller has received. ``attach_tried`` and ``cancel_tried`` say that attaching to
+    this attempt, or confirming that it never ran, has failed since its last frame;
+    ``cause`` stays the original one. ``resumable`` is False if the answer can't be
+    continued from its text (several choices, tool calls, not streamed).
+    ``earlier_may_have_run`` is the ``may_have_run`` of the step that led to this
+    attempt.
     """
 
     cause: Cause
@@ -109,19 +111,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Attach:
-    """Attach again to the same attempt, from the next offset on."""
+    """Attach to the same attempt again, from the next offset on."""
 
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Send a CancelReq; come back with TOMBSTONED, or with ``cancel_tried`` set."""
+    """Send a CancelReq; report TOMBSTONED, or the same outcome with ``cancel_tried``."""
 
 
 @dataclass(frozen=True, slots=True)
 class Retry:
     """Make another attempt from the start, on another upstream.
 
-    Hand ``may_have_run`` on as ``earlier_may_have_run`` of its outcome.
+    Pass ``may_have_run`` on as ``earlier_may_have_run`` of that attempt's outcome.
     """
 
     may_have_run: bool
@@ -152,27 +154,27 @@
     left_s: float,
     now: float,
 ) -> Step:
-    """Decide what follows ``outcome``; takes a token from ``budget`` if it retries.
+    """Decide what follows ``outcome``; an attempt takes a token from ``budget``.
 
-    ``left_s`` is the time left to the first token's deadline in seconds; it no
-    longer counts once the caller has a part of the answer.
+    ``left_s`` is the time in seconds to the deadline of the first token; it no longer
+    counts once the caller has received part of the answer.
     """
-    outcome = _about_dispatch(outcome)
+    outcome = _without_attach_refusal(outcome)
     attempt_ran = _may_have_run(outcome)
-    if attempt_ran and _worth_attaching(outcome, repeatable):
+    if attempt_ran and _should_attach(outcome, repeatable):
         return Attach()
     if attempt_ran and not repeatable:
-        return _after_doubt(outcome)
+        return _resolve_uncertain(outcome)
     why = _reason(outcome, attempt_ran)
-    stop = _stop(outcome, why, budget, left_s, now)
-    if stop is not None:
-        return Fail(_honest(stop, outcome, attempt_ran))
+    give_up_reason = _reason_to_give_up(outcome, why, budget, left_s, now)
+    if give_up_reason is not None:
+        return Fail(_with_outcome(give_up_reason, outcome, attempt_ran))
     may_have_run = attempt_ran or outcome.earlier_may_have_run
     return Resume() if outcome.delivered else Retry(may_have_run)
 
 
-def _about_dispatch(outcome: Outcome) -> Outcome:
-    """Drop a refusal of an attach: it says nothing about the attempt itself."""
+def _without_attach_refusal(outcome: Outcome) -> Outcome:
+    """Treat a refused attach as a lost connection; it tells nothing of the dispatch."""
     refusal = outcome.problem
     if outcome.cause is not Cause.REFUSED or refusal is None:
         return outcome
@@ -182,7 +184,7 @@
 
 
 def _may_have_run(outcome: Outcome) -> bool:
-    """Whether this attempt can have run, for all that is known."""
+    """Whether this attempt may have run, as far as is known."""
     if outcome.accepted or outcome.delivered:
         return True
     if outcome.cause in (Cause.NOT_SENT, Cause.TOMBSTONED):
@@ -192,16 +194,17 @@
     return outcome.problem.not_run is not True
 
 
-def _worth_attaching(outcome: Outcome, repeatable: bool) -> bool:
+def _should_attach(outcome: Outcome, repeatable: bool) -> bool:
     if outcome.attach_tried or outcome.cause is Cause.FAILED:
         return False
     if outcome.problem is not None and outcome.problem.not_run is False:
         return False
-    # What may be repeated starts faster elsewhere than it is asked after here.
+    # A repeatable request is sent to another upstream instead: it starts there sooner
+    # than this attempt can be attached to.
     return outcome.accepted or not repeatable
 
 
-def _after_doubt(outcome: Outcome) -> Step:
+def _resolve_uncertain(outcome: Outcome) -> Step:
     """Decide for an attempt that may have run and must not run twice."""
     if outcome.problem is not None and outcome.problem.not_run is False:
         return Fail(outcome.problem)
@@ -210,15 +213,15 @@
     return Fail(problem(errors.OUTCOME_UNKNOWN, not_run=None))
 
 
-def _stop(
+def _reason_to_give_up(
     outcome: Outcome, why: Problem, budget: RetryBudget, left_s: float, now: float
 ) -> Problem | None:
     """Return the reason to give up, None if another attempt may be made."""
-    if outcome.cause is Cause.REFUSED and not _helps_elsewhere(why):
+    if outcome.cause is Cause.REFUSED and not _may_succeed_elsewhere(why):
         return why
     if outcome.delivered and not outcome.resumable:
         return why
-    if not outcome.delivered and left_s < MIN_USEFUL_S:
+    if not outcome.delivered and left_s < MIN_TIME_LEFT_S:
         return why
     if outcome.attempt >= MAX_ATTEMPTS:
         return why
@@ -228,7 +231,7 @@
     return None
 
 
-def _helps_elsewhere(refusal: Problem) -> bool:
+def _may_succeed_elsewhere(refusal: Problem) -> bool:
     return refusal.status in RETRYABLE_STATUS or refusal.code in RETRYABLE_CODES
 
 
@@ -239,8 +242,8 @@
     return problem(kind, retry_after_s=RETRY_AFTER_S)
 
 
-def _honest(why: Problem, outcome: Outcome, attempt_ran: bool) -> Problem:
-    """Say "not run" only if no attempt of the request can have run."""
+def _with_outcome(why: Problem, outcome: Outcome, attempt_ran: bool) -> Problem:
+    """Set ``not_run`` to True only if no attempt of the request may have run."""
     if outcome.accepted or outcome.delivered:
         return why.with_outcome(False)
     if attempt_ran or outcome.earlier_may_have_run:
--- a/gooseberrydale/request/routing.py
+++ b/gooseberrydale/request/routing.py
@@ -1,10 +1,11 @@
-"""Chooses the upstream of a request: the least expected time to first token.
-
-Candidates are the rendezvous homes of a few levels of the prompt, upstreams known
-to hold its prefix, and one at random; homes need no learned state, so a restarted
-entry routes well at once.  What replies report refines the estimates.  Views are
-stale by nature: the sidecar decides for good, a wrong view only costs time.  Pure
-decisions of an entry; the state lives as long as the process.
+"""Chooses the upstream of a request: the lowest expected time to first token.
+
+Candidates are the preferred upstreams of a few levels of the prompt, computed with a
+rendezvous hash, upstreams known to hold its prefix, and random ones. Preferred
+upstreams need no learned state, so an entry routes well right after a restart. Load and
+cached tokens in replies refine the estimates. An entry's view is always somewhat stale:
+the sidecar makes the final decision, and a wrong view only costs time. Pure decisions;
+the state is one per process.
 """
 
 from __future__ import annotations
@@ -37,13 +38,15 @@
 
 CROSS_ZONE_S = 0.002
 CROSS_REGION_S = 0.05
-RANDOM_WHEN_LATE = 4
-# At this wait a wasted recomputation counts twice: whoever waits there pays as well.
-CONGESTION_S = 0.25
-# A copy where no other entry looks for it serves hardly anybody else.
-STRAY_WEIGHT = 1.0
+RANDOM_CANDIDATES_WHEN_LATE = 4
+# At this queue time a wasted recomputation counts twice, as it also delays the requests
+# queued there.
+CONGESTED_QUEUE_S = 0.25
+# Added waste weight of a random upstream: other entries would not look for the prefix
+# there, so a copy serves hardly any other request.
+RANDOM_PICK_WEIGHT = 1.0
 NO_UPSTREAM_RETRY_AFTER_S = 1.0
-# Refusals that say no more than the load that comes with them.
+# Refusals that carry no information beyond the load reported with them.
 BUSY_CODES = frozenset({errors.QUEUE_FULL.code, errors.DEADLINE_TOO_CLOSE.code})
 
 
@@ -51,10 +54,11 @@
 class RouteReq:
     """What routing needs of one request.
 
-    ``deadline_s`` is the time left to the first token; ``zone`` and ``region`` are
-    the entry's; ``excluded`` names upstreams not to choose: those already tried and
-    those that the configuration marks as leaving.  ``entries`` is the number of
-    entries that share the traffic; with it hot prefixes are seen before a wait shows.
+    ``deadline_s`` is the time left to the first token; ``zone`` and ``region`` are the
+    entry's; ``excluded`` names upstreams not to choose: those already tried and those
+    that the configuration marks as leaving. ``entries`` is the number of entries that
+    share the traffic; from it and its own requests an entry detects a popular prefix
+    before a queue builds up.
     """
 
     workspace: str
@@ -69,9 +73,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The upstream chosen; hand it back to the policy with what came of it.
+    """The upstream chosen; the caller passes it back to the policy with the replies.
 
-    The fields after the expectations are the policy's own notes.
+    ``serial``, ``prefixes`` and ``known`` are for the policy alone. ``known`` says that
+    this entry sent the prefix to the upstream before, so that a reply can confirm the
+    estimate of cached tokens.
     """
 
     record: UpstreamRecord
@@ -89,27 +95,27 @@
     def choose(
         self, req: RouteReq, upstreams: Sequence[UpstreamRecord], now: float
     ) -> Result[Choice, Problem]:
-        """Choose one of ``upstreams``, or say NO_UPSTREAM.
+        """Choose one of ``upstreams``, or return NO_UPSTREAM.
 
-        Hand in the same tuple as long as the records are the same ones: what is
-        derived from it is kept by identity, so it must not be changed in place.
+        Pass the same tuple as long as the records are the same: what is derived from it
+        is cached by identity, so it must not be changed in place.
         """
 
     def dispatched(self, choice: Choice, now: float) -> None:
         """Count an attempt that is sent to the chosen upstream."""
 
     def observe(self, choice: Choice, frame: Frame, now: float) -> None:
-        """Learn from a frame of that attempt."""
+        """Update the estimates from a frame of that attempt."""
 
     def lost(self, choice: Choice, now: float) -> None:
-        """Learn that the attempt's connection failed or fell silent."""
+        """Note that the attempt's connection failed or fell silent."""
 
     def observe_load(self, record: UpstreamRecord, load: Load, now: float) -> None:
-        """Learn from a load report that came by another way than on a reply."""
+        """Record a load report that did not come with a reply."""
 
 
 class Router:
-    """The policy of the product; see the module's docstring."""
+    """The default policy: weighs queue time against cached prefixes."""
 
     def __init__(self, rng: random.Random) -> None:
         self._serial = 0
@@ -122,22 +128,26 @@
     def choose(
         self, req: RouteReq, upstreams: Sequence[UpstreamRecord], now: float
     ) -> Result[Choice, Problem]:
-        """Return the candidate of least cost, or NO_UPSTREAM."""
+        """Return the candidate with the lowest cost, or NO_UPSTREAM."""
         members = self._members.get(req.profile, upstreams)
         prefixes = self._scopes.prefixes(req.workspace, req.profile.model, req.pieces)
-        found = self._collector.collect(
+        candidates = self._collector.collect(
             members, prefixes, req.excluded, req.entries, now
         )
-        if not found:
+        if not candidates:
             return Err(no_upstream(req))
-        best = self._least(found, req, prefixes, now)
+        best = self._cheapest(candidates, req, prefixes, now)
         if best.expected_ttft_s > req.deadline_s:
-            self._collector.add_random(found, members, req.excluded, RANDOM_WHEN_LATE)
-            best = self._least(found, req, prefixes, now)
+            self._collector.add_random(
+                candidates, members, req.excluded, RANDOM_CANDIDATES_WHEN_LATE
+            )
+            best = self._cheapest(candidates, req, prefixes, now)
         return Ok(best)
 
     def dispatched(self, choice: Choice, now: float) -> None:
-        """Add the attempt to the upstream's load and to the prefix's holders."""
+        """Add the attempt to the upstream's load, and the upstream to the prefix's
+        holders.
+        """
         estimate = self._estimates.find(choice.record)
         if estimate is None:
             return
@@ -146,7 +156,7 @@
         self._holders.note(choice.prefixes, choice.record, now)
 
     def observe(self, choice: Choice, frame: Frame, now: float) -> None:
-        """Take load and cached tokens from a frame."""
+        """Update load, cached tokens and holders from a frame."""
         estimate = self._estimates.find(choice.record)
         if estimate is None or isinstance(frame, Chunk):
             return
@@ -157,49 +167,49 @@
         if isinstance(frame, Accepted):
             estimate.accepted()
             if choice.known:
-                estimate.found_cached(
+                estimate.observe_cached(
                     choice.expected_cached_tokens, frame.cached_tokens
                 )
             self._holders.note(choice.prefixes, choice.record, now)
         elif isinstance(frame, Refused | Failed):
             self._holders.forget(choice.prefixes, choice.record.name)
             if frame.problem.code not in BUSY_CODES:
-                estimate.shun(now)
+                estimate.avoid(now)
 
     def lost(self, choice: Choice, now: float) -> None:
-        """Avoid the upstream for a while and forget what it was sent."""
+        """Avoid the upstream for a while, and expect none of the prefixes there."""
         estimate = self._estimates.find(choice.record)
         if estimate is not None:
             estimate.answered(choice.serial)
-            estimate.shun(now)
+            estimate.avoid(now)
             self._holders.forget(choice.prefixes, choice.record.name)
 
     def observe_load(self, record: UpstreamRecord, load: Load, now: float) -> None:
-        """Take a load report that came just now."""
+        """Record a load report that was received just now."""
         estimate = self._estimates.find(record)
         if estimate is not None:
             estimate.report(load, now)
 
-    def _least(
+    def _cheapest(
         self,
-        found: dict[str, Candidate],
+        candidates: dict[str, Candidate],
         req: RouteReq,
         prefixes: tuple[Prefix, ...],
         now: float,
     ) -> Choice:
         total = _tokens(prefixes)
-        most_cached = max(c.cached_tokens for c in found.values())
+        most_cached = max(c.cached_tokens for c in candidates.values())
         best: Candidate | None = None
         best_cost = best_ttft_s = float("inf")
-        for candidate in found.values():
+        for candidate in candidates.values():
             estimate = self._estimates.get(candidate.record)
             prefill_s = (total - candidate.cached_tokens) / estimate.prefill_tps
             queue_s = estimate.queue_s(now)
             ttft_s = queue_s + prefill_s + _transfer_s(req, candidate)
             wasted_s = (most_cached - candidate.cached_tokens) / estimate.prefill_tps
-            weight = req.profile.waste_weight + queue_s / CONGESTION_S
-            if candidate.stray:
-                weight += STRAY_WEIGHT
+            weight = req.profile.waste_weight + queue_s / CONGESTED_QUEUE_S
+            if candidate.random_pick:
+                weight += RANDOM_PICK_WEIGHT
             cost = ttft_s + weight * wasted_s
             if best is None or cost < best_cost:
                 best, best_cost, best_ttft_s = candidate, cost, ttft_s
--- a/gooseberrydale/request/timeliness.py
+++ b/gooseberrydale/request/timeliness.py
@@ -1,16 +1,17 @@
-"""Decides whether a request is sent, waits for room, or is refused for now.  Pure.
-
-It answers the load at which upstreams can't give every request its first event in
-time, as when engines have died on a heavy day.  Were all of them sent at once, engines
-would compute prompts that nobody waits for any more, preempt some of them and compute
-these twice, and their steps would get longer until all are late.  So a request that
-would be late where it can go now waits at its gateway, where it takes nothing from
-others, and is sent once there is room.  One that can't be in time any more is refused
-with the time to retry: its caller learns of it at once, and engines stay below the load
-at which they fall behind.
-
-Small requests don't wait: they take a part of the work of the others, and hardly delay
-those behind them.
+"""Decides whether a gateway sends a request, holds it, or refuses it for now. Pure.
+
+The decision protects a pool that receives more load than it can serve within the
+requests' latency objectives, for example after engines have failed at peak load. If
+every request were sent, engines would compute prompts whose callers have already given
+up, preempt some prompts and compute them twice, and their decoding steps would get
+longer until every request is late.
+
+So a request that would be late at every upstream is held at its gateway, where it uses
+no engine time, and is sent once there is capacity. A request that can no longer meet
+its objective is refused with a retry time, so its caller learns it early and engines
+stay below the load at which they fall behind.
+
+Small requests are never held: they need little of the work and hardly delay others.
 """
 
 from __future__ import annotations
@@ -19,43 +20,47 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-TOP_PART = 0.85
-"""Part of the objective within which the expected first event of a request of the
-first rank must lie; the rest is for what the estimate does not see."""
+TOP_RANK_OBJECTIVE_FRACTION = 0.85
+"""Fraction of the objective within which a request of the highest rank must be expected
+to get its first event. The remainder covers delays that the estimate does not model."""
 
-RANK_PART = 0.1
-"""What each lower rank loses of that part, so that higher ranks still find room."""
+OBJECTIVE_FRACTION_PER_RANK = 0.1
+"""Subtracted from that fraction for each lower rank, so that higher ranks still find
+capacity."""
 
-LEAST_PART = 0.55
+MIN_OBJECTIVE_FRACTION = 0.55
+"""Lower bound of that fraction, for requests of the lowest ranks."""
 
-CAUGHT_UP_S = 0.1
-"""A request goes at once if its upstream lets it wait no longer than this:
-about the time that one prompt takes there."""
+NEGLIGIBLE_QUEUE_S = 0.1
+"""A request is sent at once if the queue time at its upstream is at most this: about
+the time that one prompt takes there."""
 
-SMALL_PART = 0.6
-"""Up to this part of the mean work of a prompt, one is small."""
+SMALL_PROMPT_FRACTION = 0.6
+"""A prompt up to this fraction of the mean prompt's work counts as small."""
 
-LEAST_WAIT_S = 0.25
-"""No request is refused sooner: a queue of two or three prompts passes meanwhile, and a
-retry takes longer."""
+MIN_HOLD_S = 0.25
+"""A request is held at least this long before it is refused. Two or three queued
+prompts are computed in that time, and a retry would take longer."""
 
 LATE_WAIT_S = 0.5
-"""A request that can't be in time from the start still waits this long for room: about
-half of a run, after which places get free."""
+"""How long to hold a request that could not meet its objective when it arrived: about
+half of the run time of a request, after which slots become free."""
 
 LOOK_S = 0.09
-"""Mean time between two looks for room, with jitter around it: about as long as it
-takes until a gateway knows what the others have sent.  With shorter ones the waiting
-requests of many gateways meet at an engine that becomes idle."""
+"""Mean time between two checks for capacity; the actual time is jittered. It is about
+as long as a gateway takes to learn what the other gateways have sent. With shorter
+intervals, held requests of many gateways would all be sent to the same engine that has
+become idle."""
 
-LOOK_SPREAD = 0.5
+POLL_JITTER = 0.5
+"""Largest deviation from the mean interval, as a fraction of it."""
 
-LEAST_PAUSE_S = 0.005
-"""Less than this is not worth a wake-up of the process."""
+MIN_POLL_DELAY_S = 0.005
+"""A shorter delay does not justify waking the process."""
 
 
 class Step(Enum):
-    """What becomes of a request now."""
+    """What the gateway does with a request now."""
 
     SEND = auto()
     WAIT = auto()
@@ -64,76 +69,91 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """A request's objective in seconds, 0 if it has none, and its rank from 0 on."""
+    """The latency objective of a request, in seconds until its first event (0 if it has
+    none), and its rank; 0 is the highest.
+    """
 
     objective_s: float
     rank: int
 
     @property
-    def part(self) -> float:
-        """The part of the objective within which it must be expected."""
-        return max(LEAST_PART, TOP_PART - RANK_PART * self.rank)
+    def target_fraction(self) -> float:
+        """Fraction of the objective within which the first event must be expected."""
+        return max(
+            MIN_OBJECTIVE_FRACTION,
+            TOP_RANK_OBJECTIVE_FRACTION - OBJECTIVE_FRACTION_PER_RANK * self.rank,
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """For how long a caller has waited: ``here_s`` for this request, ``before_s`` for
-    earlier ones that were refused for a time.
+    """How long a caller has waited.
+
+    ``here_s`` is the time that this request has been held; ``prior_wait_s`` the time
+    that the caller spent on earlier attempts that were refused with a retry time.
     """
 
     here_s: float
-    before_s: float = 0.0
+    prior_wait_s: float = 0.0
 
     @property
-    def in_all_s(self) -> float:
-        """Since the caller first asked; objectives count from there."""
-        return self.here_s + self.before_s
+    def total_s(self) -> float:
+        """Time since the caller's first attempt; the objective counts from there."""
+        return self.here_s + self.prior_wait_s
 
 
 def is_small(tokens: int, mean_tokens: float) -> bool:
-    """Whether a prompt leaves little to compute; ``mean_tokens`` is 0 if not known."""
-    return tokens <= SMALL_PART * mean_tokens
+    """Return whether a prompt needs little work; ``mean_tokens`` is 0 if unknown."""
+    return tokens <= SMALL_PROMPT_FRACTION * mean_tokens
 
 
 def would_be_late(queue_s: float, own_s: float, waited_s: float, goal: Goal) -> bool:
-    """Whether a request that would wait ``queue_s`` behind others is better not sent.
+    """Return whether a request should not be sent, as it would miss its objective.
 
-    ``own_s`` is what its first event takes from then on; ``waited_s`` is the time since
-    its caller asked.
+    ``queue_s`` is the expected queue time at the upstream, ``own_s`` the time from the
+    end of the queue to the request's first event, and ``waited_s`` the time since its
+    caller's first attempt.
     """
-    if not goal.objective_s or queue_s <= CAUGHT_UP_S:
+    if not goal.objective_s or queue_s <= NEGLIGIBLE_QUEUE_S:
         return False
-    return waited_s + queue_s + own_s > goal.objective_s * goal.part
+    return waited_s + queue_s + own_s > goal.objective_s * goal.target_fraction
 
 
 def next_step(
     queue_s: float, own_s: float, wait: Wait, goal: Goal, *, small: bool = False
 ) -> Step:
-    """What becomes of a request whose best upstream lets it wait ``queue_s``."""
-    if small or not would_be_late(queue_s, own_s, wait.in_all_s, goal):
+    """Return what to do with a request whose best upstream has a queue time of
+    ``queue_s``.
+    """
+    if small or not would_be_late(queue_s, own_s, wait.total_s, goal):
         return Step.SEND
-    waits = wait.here_s < longest_wait_s(own_s, wait, goal)
-    return Step.WAIT if waits else Step.COME_BACK
+    may_wait = wait.here_s < longest_wait_s(own_s, wait, goal)
+    return Step.WAIT if may_wait else Step.COME_BACK
 
 
 def longest_wait_s(own_s: float, wait: Wait, goal: Goal) -> float:
-    """For how long a request may wait here: while it can still be in time.
+    """Return how long to hold a request: as long as it can still meet its objective.
 
-    One that could not be in time when it came, since its caller has waited elsewhere
-    or it takes too long by itself, gets a fixed time.
+    A request that could not meet it even on arrival, because of earlier waits or
+    because it takes too long by itself, is held for a fixed time.
     """
-    left_s = goal.objective_s * goal.part - wait.before_s - own_s
-    return max(LEAST_WAIT_S, left_s) if left_s > 0.0 else LATE_WAIT_S
+    left_s = goal.objective_s * goal.target_fraction - wait.prior_wait_s - own_s
+    return max(MIN_HOLD_S, left_s) if left_s > 0.0 else LATE_WAIT_S
 
 
 def comes_late(own_s: float, wait: Wait, goal: Goal) -> bool:
-    """Whether a caller has waited so long before that it can't be in time any more."""
-    if not goal.objective_s or not wait.before_s:
+    """Return whether a retried request can no longer meet its objective, given its
+    waits.
+    """
+    if not goal.objective_s or not wait.prior_wait_s:
         return False
-    return wait.in_all_s + own_s > goal.objective_s * goal.part
+    return wait.total_s + own_s > goal.objective_s * goal.target_fraction
 
 
 def pause_s(left_s: float, rng: random.Random) -> float:
-    """Until a request that waits looks for room again; ``left_s`` it may still wait."""
-    drawn_s = LOOK_S * rng.uniform(1.0 - LOOK_SPREAD, 1.0 + LOOK_SPREAD)
-    return max(LEAST_PAUSE_S, min(drawn_s, left_s))
+    """Return the time until the next check for capacity.
+
+    ``left_s`` is the remaining time for which the request may be held.
+    """
+    jittered_s = LOOK_S * rng.uniform(1.0 - POLL_JITTER, 1.0 + POLL_JITTER)
+    return max(MIN_POLL_DELAY_S, min(jittered_s, left_s))
--- a/tests/builders_request.py
+++ b/tests/builders_request.py
@@ -1,4 +1,4 @@
-"""Builders of test data for the decisions of the request path."""
+"""Builds test data for the decisions of the request path."""
 
 from __future__ import annotations
 
@@ -49,13 +49,13 @@
 
 
 def pieces(*parts: tuple[str, int]) -> tuple[Piece, ...]:
-    """Return pieces from (text, tokens), each chained over those before it."""
+    """Return pieces from (text, tokens), each with the digest of all up to it."""
     chain = b""
-    made = []
+    result = []
     for text, tokens in parts:
         chain = hashlib.blake2b(chain + text.encode(), digest_size=16).digest()
-        made.append(Piece(chain, tokens))
-    return tuple(made)
+        result.append(Piece(chain, tokens))
+    return tuple(result)
 
 
 def route(*parts: tuple[str, int], **fields: object) -> RouteReq:
@@ -66,12 +66,12 @@
 
 
 def accepted(cached_tokens: int = 0, load: Load = IDLE) -> Accepted:
-    """Return the frame that takes an attempt, for routing."""
+    """Return an Accepted frame, for the routing policies."""
     return Accepted("r", 1, "i1", 0, 200, (), load, 0, cached_tokens)
 
 
 def refused(kind: ErrorKind, load: Load = IDLE) -> Refused:
-    """Return a refusal, for routing."""
+    """Return a Refused frame, for the routing policies."""
     fields = {"wait_s": 1.0, "deadline_s": 1.0, "upstream": "u"}
     return Refused("r", 1, "i1", problem(kind, **fields), load, 0)
 
@@ -83,7 +83,7 @@
 
 
 def work(work_id: str, **fields: object) -> Work:
-    """Return work of 1,000 tokens with a deadline far off."""
+    """Return work of 1,000 tokens with a distant deadline."""
     values: dict[str, object] = {"workspace": "w1", "tokens": 1_000}
     values["deadline_s"] = 1e6
     return Work(id=work_id, **{**values, **fields})  # type: ignore[arg-type]
@@ -113,5 +113,5 @@
 
 
 def event(offset: int) -> bytes:
-    """Return the event of an answer that says its own offset."""
+    """Return an event of an answer whose content is its own offset."""
     return b'{"choices":[{"index":0,"delta":{"content":"%d "}}]}' % offset
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""The gate before an upstream: bounds, order, fairness, deadlines."""
+"""Admission at one upstream: limits, order, fairness and deadlines."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 TPS = 1_000.0
 
 
-def gate(max_running: int = 1, max_queued: int = 100) -> Admission:
+def make_admission(max_running: int = 1, max_queued: int = 100) -> Admission:
     return Admission(max_running, max_queued, prefill_tps=TPS)
 
 
 def drained(admission: Admission, running: str) -> list[str]:
-    """Finish one work after the other; return the order of starts."""
+    """Finish running work one at a time; return the ids in the order of starts."""
     order = [running]
     while True:
         started = admission.finish(order[-1], 0.0)
@@ -38,7 +38,7 @@
 
 
 def test_runs_queues_and_refuses_at_once() -> None:
-    admission = gate(max_running=2, max_queued=1)
+    admission = make_admission(max_running=2, max_queued=1)
     answers = [admission.offer(work(name), 0.0) for name in "abcd"]
     assert answers[:2] == [Admitted(), Admitted()]
     assert isinstance(answers[2], Queued)
@@ -54,12 +54,12 @@
     [
         # Higher priority first, then in the order of arrival.
         ([work("a"), work("b", priority=1), work("c")], ["b", "a", "c"]),
-        # A workspace that floods does not go before the others' first ones.
+        # A workspace with many requests does not delay the first ones of others.
         (
             [*(work(f"a{i}") for i in range(4)), work("b", workspace="w2")],
             ["a0", "b", "a1", "a2", "a3"],
         ),
-        # A share of three gets three starts for each one of a share of one.
+        # A share of three gets three starts for each start of a share of one.
         (
             [
                 *(work(f"a{i}") for i in range(2)),
@@ -79,15 +79,15 @@
     ],
 )
 def test_order_of_starts(offers: list[Work], order: list[str]) -> None:
-    admission = gate()
+    admission = make_admission()
     admission.offer(work("first", workspace="other"), 0.0)
-    for one in offers:
-        assert isinstance(admission.offer(one, 0.0), Queued)
+    for offered in offers:
+        assert isinstance(admission.offer(offered, 0.0), Queued)
     assert drained(admission, "first")[1:] == order
 
 
-def test_work_that_starts_at_once_counts_in_fairness() -> None:
-    admission = gate(max_running=4)
+def test_work_that_starts_immediately_counts_for_fairness() -> None:
+    admission = make_admission(max_running=4)
     for number in range(4):
         admission.offer(work(f"a{number}"), 0.0)
     admission.offer(work("late"), 0.0)
@@ -95,8 +95,8 @@
     assert admission.finish("a0", 0.0) == ["b"]
 
 
-def test_a_newcomer_gets_no_credit_for_the_past() -> None:
-    admission = gate()
+def test_a_new_workspace_gets_no_credit_for_earlier_time() -> None:
+    admission = make_admission()
     admission.offer(work("a0"), 0.0)
     for number in range(1, 20):
         admission.offer(work(f"a{number}"), 0.0)
@@ -107,8 +107,8 @@
     assert drained(admission, "a19")[1:] == ["b0", "a20", "b1", "a21"]
 
 
-def test_work_that_left_the_queue_costs_its_workspace_nothing() -> None:
-    admission = gate()
+def test_cancelled_queued_work_is_not_charged_to_its_workspace() -> None:
+    admission = make_admission()
     admission.offer(work("first", workspace="other"), 0.0)
     admission.offer(work("a0", tokens=9_000), 0.0)
     admission.cancel("a0", 0.0)
@@ -118,15 +118,15 @@
     assert drained(admission, "first")[1:] == ["b0", "a1", "b1"]
 
 
-def test_wait_counts_only_work_that_goes_before() -> None:
-    admission = gate()
+def test_wait_counts_only_work_that_starts_earlier() -> None:
+    admission = make_admission()
     for number in range(5):
         admission.offer(work(f"a{number}"), 0.0)
     urgent = work("urgent", priority=1, deadline_s=2.1)
     assert isinstance(admission.offer(urgent, 0.0), Queued)
 
 
-def test_fair_queue_forgets_workspaces_that_went_quiet() -> None:
+def test_fair_queue_drops_idle_workspaces() -> None:
     queue = FairQueue()
     for number in range(3 * PRUNE_WORKSPACES):
         queue.push(work(f"a{number}", workspace=f"w{number}"), 0.0)
@@ -136,14 +136,14 @@
     assert len(queue._tags[0].finish) <= PRUNE_WORKSPACES + 1
 
 
-def test_full_queue_makes_room_for_the_fair_share_of_others() -> None:
-    admission = gate(max_queued=3)
+def test_full_queue_displaces_work_for_the_fair_share_of_others() -> None:
+    admission = make_admission(max_queued=3)
     for number in range(4):
         admission.offer(work(f"a{number}"), 0.0)
     answer = admission.offer(work("b", workspace="w2"), 0.0)
     assert isinstance(answer, Queued)
-    [(gone, why)] = answer.displaced
-    assert gone == "a3"
+    [(displaced, why)] = answer.displaced
+    assert displaced == "a3"
     assert refusal(why).code == errors.QUEUE_FULL.code
     assert refusal(admission.offer(work("a4"), 0.0)).code == errors.QUEUE_FULL.code
     assert admission.load(0.0).queued == 3
@@ -163,7 +163,7 @@
 def test_deadline_is_checked_at_the_offer(
     ahead: list[str], deadline_s: float, fits: bool
 ) -> None:
-    admission = gate()
+    admission = make_admission()
     for name in ahead:
         admission.offer(work(name), 0.0)
     answer = admission.offer(work("x", deadline_s=deadline_s), 0.0)
@@ -174,7 +174,7 @@
 
 
 def test_computed_prompts_no_longer_delay_others() -> None:
-    admission = gate(max_running=2)
+    admission = make_admission(max_running=2)
     admission.offer(work("a", tokens=5_000), 0.0)
     assert admission.load(0.0).queue_s == pytest.approx(5.0)
     admission.first_token("a", 1.0)
@@ -183,20 +183,20 @@
 
 
 @pytest.mark.parametrize(("passed_s", "left_s"), [(0.0, 5.0), (2.0, 3.0), (9.0, 0.0)])
-def test_prompts_under_way_delay_others_less_and_less(
+def test_remaining_prefill_of_running_prompts_shrinks_with_time(
     passed_s: float, left_s: float
 ) -> None:
-    admission = gate(max_running=9)
+    admission = make_admission(max_running=9)
     admission.offer(work("a", tokens=2_000), 0.0)
     admission.offer(work("b", tokens=3_000), 0.0)
     assert admission.load(passed_s).queue_s == pytest.approx(left_s)
-    for gone in "ab":
-        admission.cancel(gone, 0.0)
+    for name in "ab":
+        admission.cancel(name, 0.0)
     assert admission.load(0.0).queue_s == 0.0
 
 
-def test_queued_work_is_answered_once_its_deadline_is_lost() -> None:
-    admission = gate()
+def test_queued_work_is_refused_once_it_cannot_meet_its_deadline() -> None:
+    admission = make_admission()
     admission.offer(work("a"), 0.0)
     admission.offer(work("b", deadline_s=3.0), 0.0)
     admission.offer(work("c"), 0.0)
@@ -208,8 +208,8 @@
     assert admission.finish("a", 2.2) == ["c"]
 
 
-def test_a_free_slot_does_not_start_late_work_but_expire_reports_it() -> None:
-    admission = gate()
+def test_late_work_gets_no_free_slot_and_is_returned_by_expire() -> None:
+    admission = make_admission()
     admission.offer(work("a"), 0.0)
     admission.offer(work("b", deadline_s=3.0), 0.0)
     assert admission.finish("a", 2.5) == []
@@ -219,8 +219,8 @@
     assert admission.expire(2.5) == []
 
 
-def test_cancel_frees_a_slot_or_a_place() -> None:
-    admission = gate()
+def test_cancel_frees_a_slot_or_a_queue_place() -> None:
+    admission = make_admission()
     for name in "abc":
         admission.offer(work(name), 0.0)
     assert admission.cancel("b", 0.0) == []
@@ -229,8 +229,8 @@
 
 
 @pytest.mark.parametrize("done", [False, True])
-def test_an_attempt_is_never_taken_twice(done: bool) -> None:
-    admission = gate()
+def test_an_attempt_is_never_accepted_twice(done: bool) -> None:
+    admission = make_admission()
     admission.offer(work("a"), 0.0)
     if done:
         admission.finish("a", 0.0)
@@ -240,14 +240,17 @@
     assert answer.not_run is None
 
 
-class Gate(RuleBasedStateMachine):
-    """Offers, ends, cancels and time in any order; each work has one fate."""
+class AdmissionMachine(RuleBasedStateMachine):
+    """Offers, finishes, cancels and lets time pass in any order.
+
+    Each work starts at most once, or is refused, and the limits hold.
+    """
 
     MAX_RUNNING, MAX_QUEUED = 2, 3
 
     def __init__(self) -> None:
         super().__init__()
-        self.admission = gate(self.MAX_RUNNING, self.MAX_QUEUED)
+        self.admission = make_admission(self.MAX_RUNNING, self.MAX_QUEUED)
         self.now = 0.0
         self.count = 0
         self.queued: set[str] = set()
@@ -283,8 +286,8 @@
     ) -> None:
         self.count += 1
         name = f"work-{self.count}"
-        one = Work(name, workspace, tokens, deadline_s, share, priority)
-        answer = self.admission.offer(one, self.now)
+        offered = Work(name, workspace, tokens, deadline_s, share, priority)
+        answer = self.admission.offer(offered, self.now)
         if isinstance(answer, Problem):
             refusal(answer)
             return
@@ -326,7 +329,7 @@
         assert next_expiry is None or next_expiry >= self.now
 
     @invariant()
-    def bounds_hold_and_no_slot_idles(self) -> None:
+    def limits_hold_and_no_slot_is_idle_while_work_waits(self) -> None:
         load = self.admission.load(self.now)
         assert load.running == len(self.running) <= self.MAX_RUNNING
         assert load.queued <= self.MAX_QUEUED
@@ -334,13 +337,13 @@
         assert load.queued == 0 or load.running == self.MAX_RUNNING
 
 
-TestGate = Gate.TestCase
-TestGate.settings = settings(
+TestAdmissionMachine = AdmissionMachine.TestCase
+TestAdmissionMachine.settings = settings(
     derandomize=True, max_examples=150, stateful_step_count=40, deadline=None
 )
 
 
-def test_starts_are_spaced_by_the_limit_that_the_upstream_names() -> None:
+def test_starts_keep_to_the_rate_limit_of_the_upstream() -> None:
     admission = Admission(max_running=100, max_queued=100)
     admission.limit(2.0, 0.0)
     starts = []
@@ -356,7 +359,7 @@
     assert len(admission.start_due(10.0)) == 100 - len(starts)
 
 
-def test_work_that_a_limit_makes_late_is_refused_when_it_is_offered() -> None:
+def test_work_that_the_rate_limit_makes_late_is_refused_when_offered() -> None:
     admission = Admission(max_running=100, max_queued=100)
     admission.limit(0.5, 0.0)
     assert isinstance(admission.offer(work("w1", deadline_s=5.0), 0.0), Queued)
--- a/tests/test_freshness.py
+++ b/tests/test_freshness.py
@@ -1,4 +1,4 @@
-"""When a process may wait a moment for news before it refuses."""
+"""When a process may wait briefly for updates before it refuses a request."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import pytest
 
 from gooseberrydale.request.freshness import (
-    FRESH_S,
+    GRACE_PERIOD_S,
     MAX_WAIT_S,
     STALL_S,
     TICK_S,
@@ -17,33 +17,35 @@
 
 
 @pytest.mark.parametrize(
-    ("ticks", "now", "fresh"),
+    ("ticks", "now", "active"),
     [
         pytest.param([], 0.5, True, id="just started"),
-        pytest.param([1.0, 2.0], 2.5, True, id="still within the first seconds"),
+        pytest.param(
+            [1.0, 2.0], 2.5, True, id="within the grace period after the start"
+        ),
         pytest.param([*range(20)], 20.0, False, id="long running without a stall"),
-        pytest.param([*range(20)], 28.0, True, id="thawed, seen by a request first"),
-        pytest.param([*range(20), 28.0], 28.5, True, id="thawed, seen by a tick first"),
+        pytest.param([*range(20)], 28.0, True, id="resumed, detected by a request"),
+        pytest.param([*range(20), 28.0], 28.5, True, id="resumed, detected by a tick"),
         pytest.param(
             [*range(20), *range(28, 40)],
             40.0,
             False,
-            id="a stall is over after a while",
+            id="grace period after a stall is over",
         ),
     ],
 )
-def test_fresh_after_start_and_stall(ticks, now, fresh):
+def test_active_after_start_and_stall(ticks, now, active):
     freshness = Freshness(0.0)
     for tick in ticks:
         freshness.tick(float(tick))
-    assert freshness.is_fresh(now) is fresh
+    assert freshness.is_active(now) is active
 
 
-def test_a_late_tick_is_no_stall():
-    assert TICK_S < STALL_S < FRESH_S
+def test_a_tick_that_is_a_little_late_is_no_stall():
+    assert TICK_S < STALL_S < GRACE_PERIOD_S
 
 
-def test_wait_ends_when_the_record_comes_or_after_a_moment() -> None:
+def test_wait_ends_when_the_condition_holds_or_after_the_limit() -> None:
     async def scenario() -> tuple[float, float]:
         loop = asyncio.get_running_loop()
         freshness = Freshness(loop.time())
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The gate of attempts: cases one by one, then any order of events."""
+"""The gate of attempts: single cases, then events in any order."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def offer(gate: Gate, now: float = 0.0, leaving: bool = False, **fields: Any) -> str:
-    """The refusal's code, or ``taken``."""
+    """Offer an attempt; return the code of the refusal, or ``taken``."""
     req = dispatch_req(fields.pop("incarnation", INCARNATION), **fields)
     decision = gate.offer(req, now, leaving=leaving)
     return decision.err_value.code if isinstance(decision, Err) else "taken"
@@ -40,14 +40,14 @@
         "wrong_incarnation",
     ),
     "leaving": ({}, True, "upstream_leaving"),
-    "no time left": ({"deadline_s": 0.0}, False, "deadline_passed"),
+    "deadline passed": ({"deadline_s": 0.0}, False, "deadline_passed"),
     "old announcement": ({"record_seq": 1}, False, "stale_dispatch"),
     "newest announcement": ({"record_seq": 2}, False, "taken"),
 }
 
 
 @pytest.mark.parametrize("name", REFUSALS)
-def test_refusals(name: str) -> None:
+def test_offer_is_refused_or_taken(name: str) -> None:
     fields, leaving, code = REFUSALS[name]
     gate = Gate("upstream-1", INCARNATION)
     gate.announced(1, 0.0)
@@ -56,7 +56,7 @@
     assert offer(gate, now, leaving, **fields) == code
 
 
-def test_an_attempt_is_taken_once() -> None:
+def test_an_attempt_is_accepted_once() -> None:
     gate = Gate("upstream-1", INCARNATION)
     codes = [offer(gate) for _ in range(2)]
     gate.start(KEY)
@@ -66,7 +66,7 @@
     assert codes == ["taken"] + ["duplicate_attempt"] * 3
 
 
-def test_a_gate_that_is_shut_takes_nothing_new() -> None:
+def test_a_gate_refuses_new_attempts_after_shut() -> None:
     gate = Gate("upstream-1", INCARNATION)
     gate.shut()
     assert offer(gate) == "shutting_down"
@@ -83,7 +83,7 @@
 
 
 @pytest.mark.parametrize("name", CANCELLATIONS)
-def test_cancellations(name: str) -> None:
+def test_cancel_and_a_later_offer(name: str) -> None:
     steps, repeatable, verdict, later = CANCELLATIONS[name]
     gate = Gate("upstream-1", INCARNATION)
     actions = {
@@ -101,28 +101,26 @@
 def test_a_cancellation_of_another_workspace_or_incarnation_changes_nothing() -> None:
     gate = Gate("upstream-1", INCARNATION)
     offer(gate)
-    stranger = replace(CANCEL, workspace="workspace-b")
-    assert gate.cancel(stranger, 0.0) is Verdict.WRONG_WORKSPACE
-    earlier = replace(CANCEL, incarnation="incarnation-1")
-    verdict = gate.cancel(earlier, 0.0)
+    other_workspace = replace(CANCEL, workspace="workspace-b")
+    assert gate.cancel(other_workspace, 0.0) is Verdict.WRONG_WORKSPACE
+    other_incarnation = replace(CANCEL, incarnation="incarnation-1")
+    verdict = gate.cancel(other_incarnation, 0.0)
     assert verdict is Verdict.WRONG_INCARNATION and not verdict.not_run
     assert gate.phase(KEY) is Phase.WAITING
 
 
-def test_what_ran_so_long_ago_that_it_is_forgotten_is_not_said_not_to_have_run() -> (
-    None
-):
+def test_an_attempt_whose_record_was_dropped_is_not_reported_as_not_run() -> None:
     gate = Gate("upstream-1", INCARNATION)
     gate.announced(1, 0.0)
     offer(gate, record_seq=1)
     gate.start(KEY)
     gate.finish(KEY, 1.0)
-    late = 1.0 + gate.keep_s
+    late = 1.0 + gate.retention_s
     gate.announced(2, late)
     for seq in (0, 1, 1):
         verdict = gate.cancel(replace(CANCEL, record_seq=seq), late)
         assert verdict is Verdict.UNKNOWN and not verdict.not_run
-    # Nor if a late repeat of its dispatch was refused in between.
+    # Nor is it after a late copy of its dispatch was refused in between.
     assert offer(gate, late, request_id="req-3", record_seq=1) == "stale_dispatch"
     repeat = replace(CANCEL, request_id="req-3", record_seq=1)
     assert gate.cancel(repeat, late) is Verdict.UNKNOWN
@@ -130,10 +128,11 @@
     assert gate.cancel(fresh, late) is Verdict.NEVER_STARTS
 
 
-def test_a_tombstone_outincarnations_every_dispatch_that_may_still_be_accepted() -> (
-    None
-):
-    """Given up at once, built just before its deadline, then held up for long."""
+def test_a_tombstone_is_retained_while_a_dispatch_may_still_be_accepted() -> None:
+    """The attempt is cancelled at once, its dispatch built just before the deadline.
+
+    The dispatch is then delayed for as long as it is still accepted.
+    """
     gate = Gate("upstream-1", INCARNATION)
     gate.announced(1, 0.0)
     gate.cancel(replace(CANCEL, record_seq=1), 0.0)
@@ -144,7 +143,7 @@
     assert offer(gate, late + 1, request_id="req-2", record_seq=2) == "stale_dispatch"
 
 
-def test_an_attempt_that_would_start_twice_breaks_the_invariant() -> None:
+def test_starting_an_attempt_twice_or_after_cancel_raises_an_error() -> None:
     gate = Gate("upstream-1", INCARNATION)
     offer(gate)
     gate.start(KEY)
@@ -160,9 +159,9 @@
 
 
 class GateMachine(RuleBasedStateMachine):
-    """Dispatches linger for any time; nothing starts twice or after "not run".
+    """Dispatches are delayed by any time; none starts twice or after "not run".
 
-    An entry builds the one dispatch of an attempt within its deadline, on the newest
+    An entry builds the only dispatch of an attempt within its deadline, on the newest
     announcement; anything may delay it after that.
     """
 
@@ -176,7 +175,7 @@
         self.count = 0
         self.begun: dict[str, float] = {}
         self.starts: dict[str, int] = {}
-        self.said_not_run: set[str] = set()
+        self.reported_not_run: set[str] = set()
         self.wait(0.0)
 
     @rule(seconds=st.sampled_from([0.0, 1.0, 20.0, 40.0, 70.0, 200.0, 3600.0]))
@@ -191,7 +190,7 @@
 
     @rule(seconds=st.sampled_from([70.0, 200.0, 3600.0]))
     def pause_sidecar(self, seconds: float) -> None:
-        """The sidecar itself stands still and announces nothing."""
+        """The sidecar is paused and announces nothing."""
         self.now += seconds
 
     def announce(self) -> None:
@@ -205,7 +204,7 @@
         states_seq=st.booleans(),
     )
     def build(self, pause: float, early: bool, states_seq: bool) -> DispatchReq:
-        """The request begins; some are given up before their dispatch is built."""
+        """Begin a request; some are cancelled before their dispatch is built."""
         self.count += 1
         name = f"req-{self.count}"
         if early:
@@ -222,10 +221,10 @@
     def deliver(self, req: DispatchReq) -> None:
         decision = self.gate.offer(req, self.now, leaving=False)
         if isinstance(decision, Ok):
-            assert req.request_id not in self.said_not_run
+            assert req.request_id not in self.reported_not_run
         elif decision.err_value.not_run:
             assert req.request_id not in self.starts
-            self.said_not_run.add(req.request_id)
+            self.reported_not_run.add(req.request_id)
 
     @rule(req=dispatches, states_seq=st.booleans())
     def cancel(self, req: DispatchReq, states_seq: bool) -> None:
@@ -235,13 +234,13 @@
         req = replace(CANCEL, request_id=name, record_seq=seq)
         if self.gate.cancel(req, self.now).not_run:
             assert name not in self.starts
-            self.said_not_run.add(name)
+            self.reported_not_run.add(name)
 
     @rule(req=dispatches, end=st.booleans())
-    def turn_comes(self, req: DispatchReq, end: bool) -> None:
+    def start_or_finish(self, req: DispatchReq, end: bool) -> None:
         key = (req.request_id, req.attempt)
         if self.gate.phase(key) is Phase.WAITING:
-            assert req.request_id not in self.said_not_run
+            assert req.request_id not in self.reported_not_run
             self.gate.start(key)
             self.starts[key[0]] = self.starts.get(key[0], 0) + 1
         elif end and self.gate.phase(key) is Phase.RUNNING:
@@ -256,7 +255,7 @@
         if not hasattr(self, "gate"):
             return
         unfinished = self.gate.unfinished
-        self.gate.expire(self.now + self.gate.keep_s)
+        self.gate.expire(self.now + self.gate.retention_s)
         assert len(self.gate) == unfinished
 
 
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""What follows a failed attempt: never a second run of what may not be repeated."""
+"""What follows a failed attempt: no request that may not be repeated runs twice."""
 
 from __future__ import annotations
 
@@ -27,8 +27,8 @@
 FULL = problem(errors.QUEUE_FULL, retry_after_s=3.0)
 BAD = problem(errors.INVALID_FIELD, reason="x")
 RAN = problem(errors.UPSTREAM_FAILED, not_run=False)
-DOUBTED = problem(errors.DUPLICATE_ATTEMPT, not_run=None, attempt=1, request_id="r")
-STRANGE = problem(errors.UNKNOWN_STREAM, request_id="r", offset=0)
+DUPLICATE = problem(errors.DUPLICATE_ATTEMPT, not_run=None, attempt=1, request_id="r")
+UNKNOWN_STREAM = problem(errors.UNKNOWN_STREAM, request_id="r", offset=0)
 OTHER_INCARNATION = problem(errors.WRONG_INCARNATION, actual="i2", wanted="i1")
 
 
@@ -47,12 +47,12 @@
     )
 
 
-def spent() -> RetryBudget:
+def empty_budget() -> RetryBudget:
     return RetryBudget(ratio=0.0, floor_per_s=0.0, cap=0.0)
 
 
 def summary(taken: Step) -> object:
-    """Shorten a step: a failure to its code and its word on the outcome."""
+    """Shorten a step to its type, or a failure to its code and ``not_run``."""
     if isinstance(taken, Fail):
         return taken.problem.code, taken.problem.not_run
     return type(taken)
@@ -63,9 +63,9 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "repeated", "once"),
+    ("outcome", "if_repeatable", "if_not"),
     [
-        # Known not to have run: elsewhere, whatever the request.
+        # Known not to have run: sent to another upstream, repeatable or not.
         (Outcome(REFUSED, problem=FULL), Retry, Retry),
         (Outcome(REFUSED, problem=OTHER_INCARNATION), Retry, Retry),
         (Outcome(Cause.NOT_SENT), Retry, Retry),
@@ -76,19 +76,19 @@
             ("invalid_field", True),
             ("invalid_field", True),
         ),
-        # It may have left, and nothing is known of it.
+        # It may have been sent, and no reply was received.
         (Outcome(LOST), Retry, Attach),
         (Outcome(SILENT), Retry, Attach),
-        (Outcome(REFUSED, problem=DOUBTED), ("duplicate_attempt", None), Attach),
+        (Outcome(REFUSED, problem=DUPLICATE), ("duplicate_attempt", None), Attach),
         (Outcome(LOST, attach_tried=True), Retry, Confirm),
         (Outcome(LOST, attach_tried=True, cancel_tried=True), Retry, UNKNOWN),
-        # It was taken: ask for its stream again, at first.
+        # It was accepted: attach to its stream again first.
         (Outcome(LOST, accepted=True), Attach, Attach),
         (Outcome(SILENT, accepted=True), Attach, Attach),
         (Outcome(Cause.GAP, accepted=True, delivered=2), Attach, Attach),
         (Outcome(LOST, accepted=True, attach_tried=True), Retry, UNKNOWN),
         (Outcome(LOST, accepted=True, delivered=2, attach_tried=True), Resume, UNKNOWN),
-        # The upstream failed while it worked.
+        # The upstream failed while it processed the request.
         (
             Outcome(Cause.FAILED, accepted=True, problem=RAN),
             Retry,
@@ -106,8 +106,8 @@
         ),
         (Outcome(REFUSED, problem=RAN), Retry, ("upstream_failed", False)),
         # A refused attach says nothing about the dispatch.
-        (Outcome(REFUSED, accepted=True, problem=STRANGE), Retry, UNKNOWN),
-        (Outcome(REFUSED, problem=STRANGE), Retry, Confirm),
+        (Outcome(REFUSED, accepted=True, problem=UNKNOWN_STREAM), Retry, UNKNOWN),
+        (Outcome(REFUSED, problem=UNKNOWN_STREAM), Retry, Confirm),
         (
             Outcome(REFUSED, problem=OTHER_INCARNATION, attach_tried=True),
             Retry,
@@ -115,11 +115,11 @@
         ),
     ],
 )
-def test_step_for_what_may_be_repeated_and_what_may_not(
-    outcome: Outcome, repeated: object, once: object
+def test_next_step_of_repeatable_and_other_requests(
+    outcome: Outcome, if_repeatable: object, if_not: object
 ) -> None:
-    assert summary(step(outcome, repeatable=True)) == repeated
-    assert summary(step(outcome, repeatable=False)) == once
+    assert summary(step(outcome, repeatable=True)) == if_repeatable
+    assert summary(step(outcome, repeatable=False)) == if_not
 
 
 DELIVERED = Outcome(LOST, accepted=True, delivered=2, attach_tried=True)
@@ -142,11 +142,11 @@
         (
             Outcome(REFUSED, problem=FULL),
             9.0,
-            spent(),
+            empty_budget(),
             ("retry_budget_spent", True),
         ),
-        (Outcome(LOST), 9.0, spent(), ("retry_budget_spent", None)),
-        (DELIVERED, 9.0, spent(), ("retry_budget_spent", False)),
+        (Outcome(LOST), 9.0, empty_budget(), ("retry_budget_spent", None)),
+        (DELIVERED, 9.0, empty_budget(), ("retry_budget_spent", False)),
         # The last attempt was refused, but an earlier one may have run.
         (
             Outcome(REFUSED, 2, problem=FULL, earlier_may_have_run=True),
@@ -157,31 +157,31 @@
         (
             Outcome(Cause.NOT_SENT, 2, earlier_may_have_run=True),
             9.0,
-            spent(),
+            empty_budget(),
             ("retry_budget_spent", None),
         ),
     ],
 )
-def test_limits_of_trying_again(
+def test_limits_of_further_attempts(
     outcome: Outcome, left_s: float, budget: RetryBudget | None, expected: object
 ) -> None:
     assert summary(step(outcome, left_s=left_s, budget=budget)) == expected
 
 
-def test_failure_keeps_the_time_to_come_back() -> None:
-    for budget, left_s in [(RetryBudget(), 0.0), (spent(), 9.0)]:
+def test_failure_keeps_the_retry_time() -> None:
+    for budget, left_s in [(RetryBudget(), 0.0), (empty_budget(), 9.0)]:
         taken = step(Outcome(REFUSED, problem=FULL), left_s=left_s, budget=budget)
         assert isinstance(taken, Fail) and taken.problem.retry_after_s == 3.0
 
 
-def test_steps_hand_on_whether_an_attempt_may_have_run() -> None:
+def test_steps_pass_on_whether_an_attempt_may_have_run() -> None:
     assert step(Outcome(LOST)) == Retry(may_have_run=True)
     assert step(Outcome(REFUSED, problem=FULL)) == Retry(may_have_run=False)
     later = Outcome(REFUSED, 2, problem=FULL, earlier_may_have_run=True)
     assert step(later) == Retry(may_have_run=True)
 
 
-def test_budget_follows_fresh_requests_with_a_floor_and_a_cap() -> None:
+def test_budget_grows_with_fresh_requests_and_has_a_floor_and_a_cap() -> None:
     budget = RetryBudget(ratio=0.25, floor_per_s=0.5, cap=2.0)
     assert [budget.spend(0.0) for _ in range(3)] == [True, True, False]
     for _ in range(4):
@@ -220,7 +220,7 @@
 
 @settings(derandomize=True, max_examples=2_000)
 @given(outcomes, st.booleans(), st.sampled_from([0.0, 10.0]))
-def test_promises_hold_for_every_outcome(
+def test_guarantees_hold_for_every_outcome(
     outcome: Outcome, repeatable: bool, left_s: float
 ) -> None:
     taken = step(outcome, repeatable, left_s)
--- a/tests/test_retry_window.py
+++ b/tests/test_retry_window.py
@@ -1,4 +1,4 @@
-"""Retries within a sliding window, and what they save when upstreams die."""
+"""Retries within a sliding window, and the streams they save when upstreams fail."""
 
 from __future__ import annotations
 
@@ -14,31 +14,31 @@
 RATIO, SLACK = 0.2, 6.0
 
 
-def busy(per_s: float, until: float) -> RetryWindow:
-    """A window after steady traffic without a retry."""
+def window_after_traffic(per_s: float, until: float) -> RetryWindow:
+    """Return a window after steady traffic without a retry."""
     window = RetryWindow(RATIO, SLACK, WINDOW_S)
     for number in range(int(per_s * until)):
         window.deposit(number / per_s)
     return window
 
 
-def test_all_of_a_window_may_be_used_at_once() -> None:
-    """Two of six engines die with a dozen streams of each gateway on them."""
-    window = busy(12.0, 20.0)
+def test_all_retries_of_a_window_may_be_used_at_once() -> None:
+    """Two of six engines fail with a dozen streams of each gateway on them."""
+    window = window_after_traffic(12.0, 20.0)
     allowed = sum(window.spend(20.0) for _ in range(100))
     assert allowed == int(RATIO * 119 + SLACK)
     assert allowed >= 24
 
 
-def test_what_matters_more_finds_a_part_left() -> None:
-    window = busy(12.0, 20.0)
+def test_more_important_retries_have_a_reserved_fraction() -> None:
+    window = window_after_traffic(12.0, 20.0)
     moved = sum(window.spend(20.0, keep_part=0.5) for _ in range(100))
     resumed = sum(window.spend(20.0) for _ in range(100))
     assert moved == pytest.approx(resumed, abs=1)
 
 
-def test_retries_come_back_as_the_window_slides() -> None:
-    window = busy(12.0, 20.0)
+def test_retries_are_available_again_as_the_window_slides() -> None:
+    window = window_after_traffic(12.0, 20.0)
     while window.spend(20.0):
         pass
     assert window.left < 1
@@ -47,18 +47,18 @@
     assert window.spend(30.1)
 
 
-MOMENTS = st.lists(
+EVENTS = st.lists(
     st.tuples(st.floats(0.0, 40.0), st.booleans()), min_size=1, max_size=300
 )
 
 
-@given(MOMENTS)
-def test_no_span_of_a_window_holds_more_than_is_allowed(
-    moments: list[tuple[float, bool]],
+@given(EVENTS)
+def test_no_window_has_more_retries_than_allowed(
+    events: list[tuple[float, bool]],
 ) -> None:
     window = RetryWindow(RATIO, 2.0, WINDOW_S)
     requests, retries = [], []
-    for now, fresh in sorted(moments):
+    for now, fresh in sorted(events):
         if fresh:
             window.deposit(now)
             requests.append(now)
@@ -66,13 +66,15 @@
             retries.append(now)
     for end in retries:
         spent = sum(end - WINDOW_S < at <= end for at in retries)
-        fresh_ones = sum(end - WINDOW_S < at <= end for at in requests)
-        assert spent <= RATIO * fresh_ones + 2.0
+        fresh_requests = sum(end - WINDOW_S < at <= end for at in requests)
+        assert spent <= RATIO * fresh_requests + 2.0
 
 
 @pytest.mark.parametrize("gateways", [8, 26])
-def test_streams_of_dead_engines_go_on_within_the_bound_of_all(gateways: int) -> None:
-    """A fleet's gateways together keep to the ratio and the number beside."""
+def test_gateways_resume_streams_of_failed_engines_within_the_total_limit(
+    gateways: int,
+) -> None:
+    """All gateways together keep to the ratio and the slack of the fleet."""
     rng = random.Random(3)
     slack = 64.0
     windows = [RetryWindow(RATIO, slack / gateways, WINDOW_S) for _ in range(gateways)]
--- a/tests/test_silence_limit.py
+++ b/tests/test_silence_limit.py
@@ -13,7 +13,7 @@
 LIMIT_S = 0.5
 
 
-def test_silence_ends_after_the_limit() -> None:
+def test_wait_ends_after_the_limit() -> None:
     async def scenario() -> float:
         with pytest.raises(TimeoutError):
             async with SilenceLimit(LIMIT_S):
@@ -23,7 +23,7 @@
     assert run_paused(scenario()) == pytest.approx(LIMIT_S)
 
 
-def test_the_deadline_ends_the_wait_sooner() -> None:
+def test_the_deadline_ends_the_wait_earlier() -> None:
     async def scenario() -> float:
         with pytest.raises(TimeoutError):
             async with SilenceLimit(LIMIT_S, until=0.2):
@@ -33,8 +33,8 @@
     assert run_paused(scenario()) == pytest.approx(0.2)
 
 
-def test_what_arrived_within_a_stall_is_read() -> None:
-    """Bytes need some rounds of the loop to reach the reader after a stall."""
+def test_bytes_that_arrived_during_a_stall_are_read() -> None:
+    """Bytes need some iterations of the loop to reach the reader after a stall."""
 
     async def scenario() -> str:
         loop = cast(PausedClockLoop, asyncio.get_running_loop())
@@ -51,8 +51,10 @@
     assert run_paused(scenario()) == "frame"
 
 
-def test_a_loop_that_is_always_behind_reads_on() -> None:
-    """Each step ends late; ten of them are no silence, though they last for longer."""
+def test_an_overloaded_loop_continues_to_read() -> None:
+    """Each step ends late; ten late steps don't count as silence, though they exceed
+    the limit.
+    """
 
     async def scenario() -> str:
         loop = cast(PausedClockLoop, asyncio.get_running_loop())
@@ -72,7 +74,7 @@
     assert run_paused(scenario()) == "frame"
 
 
-def test_also_a_loop_that_is_always_behind_finds_who_is_silent() -> None:
+def test_an_overloaded_loop_also_detects_silence() -> None:
     async def scenario() -> None:
         loop = cast(PausedClockLoop, asyncio.get_running_loop())
 
@@ -88,7 +90,7 @@
     run_paused(scenario())
 
 
-def test_nothing_is_left_behind_by_a_read_in_time() -> None:
+def test_a_read_in_time_leaves_no_timer() -> None:
     async def scenario() -> float:
         async with SilenceLimit(LIMIT_S):
             await asyncio.sleep(0.1)
@@ -98,7 +100,7 @@
     assert run_paused(scenario()) == pytest.approx(0.1 + 2 * LIMIT_S)
 
 
-def test_a_cancelled_reader_is_cancelled() -> None:
+def test_cancelling_the_reader_raises_cancelled_error() -> None:
     async def read() -> None:
         async with SilenceLimit(LIMIT_S):
             await asyncio.Event().wait()
