--- a/gooseberrydale/request/affinity.py
+++ b/gooseberrydale/request/affinity.py
@@ -18,8 +18,8 @@
 from gooseberrydale.request.estimate import Estimates, identity
 
 MIN_BASE_TOKENS = 256
-# Fraction of the prompt that a level must add to the one before it to have its own
-# preferred upstreams.
+# Minimum fraction of the prompt by which a level must be longer than the one before it
+# to have its own preferred upstreams.
 MIN_LEVEL_FRACTION = 0.05
 MAX_PREFIXES = 64
 MAX_TRACKED_PREFIXES = 8_192
--- a/gooseberrydale/request/candidates.py
+++ b/gooseberrydale/request/candidates.py
@@ -4,7 +4,7 @@
 upstreams in a ranked order. Usually only the first is in use. The next one is added
 when all those in use have a queue longer than the pool's mean by more than the time to
 recompute the prompt, or when the rate of requests for the base needs it. Deeper levels,
-such as a lot that the guide is followed by, are divided among the upstreams in use, so
+such as the description of one lot after the guide, are divided among the upstreams in use, so
 that each is cached where its base is.
 
 All entries have the same load reports and the same order, so they agree without
@@ -71,18 +71,18 @@
         now: float,
     ) -> dict[str, Candidate]:
         """Return the candidates by name; empty only if no upstream is eligible."""
-        found: dict[str, Candidate] = {}
-        self._add_preferred(found, members, prefixes, excluded, entries, now)
-        self._add_holders(found, members, prefixes, excluded, now)
-        wanted = RANDOM_WITH_PREFERRED if found else RANDOM_WITHOUT_PREFERRED
-        self.add_random(found, members, excluded, wanted)
-        if not found:
-            self._add_any(found, members, excluded)
-        return found
+        candidates: dict[str, Candidate] = {}
+        self._add_preferred(candidates, members, prefixes, excluded, entries, now)
+        self._add_holders(candidates, members, prefixes, excluded, now)
+        wanted = RANDOM_WITH_PREFERRED if candidates else RANDOM_WITHOUT_PREFERRED
+        self.add_random(candidates, members, excluded, wanted)
+        if not candidates:
+            self._add_any(candidates, members, excluded)
+        return candidates
 
     def add_random(
         self,
-        found: dict[str, Candidate],
+        candidates: dict[str, Candidate],
         members: Members,
         excluded: frozenset[str],
         wanted: int,
@@ -92,15 +92,15 @@
             return
         for _ in range(wanted * DRAWS_PER_CANDIDATE):
             name = self._rng.choice(members.names)
-            if name not in excluded and name not in found:
-                found[name] = Candidate(members.by_name[name], random_pick=True)
+            if name not in excluded and name not in candidates:
+                candidates[name] = Candidate(members.by_name[name], random_pick=True)
                 wanted -= 1
             if wanted == 0:
                 return
 
     def _add_preferred(
         self,
-        found: dict[str, Candidate],
+        candidates: dict[str, Candidate],
         members: Members,
         prefixes: tuple[Prefix, ...],
         excluded: frozenset[str],
@@ -123,12 +123,12 @@
             # later, if at all.
             probability = PREFERRED_CACHED_PROBABILITY / (1 + rank)
             _add_better(
-                found, Candidate(members.by_name[name], base.tokens * probability)
+                candidates, Candidate(members.by_name[name], base.tokens * probability)
             )
         for prefix in deeper:
             name = members.first_among(names[:in_use], prefix.key)
             tokens = prefix.tokens * PREFERRED_CACHED_PROBABILITY
-            _add_better(found, Candidate(members.by_name[name], tokens))
+            _add_better(candidates, Candidate(members.by_name[name], tokens))
 
     def _needed_for_rate(
         self,
@@ -165,7 +165,7 @@
 
     def _add_holders(
         self,
-        found: dict[str, Candidate],
+        candidates: dict[str, Candidate],
         members: Members,
         prefixes: tuple[Prefix, ...],
         excluded: frozenset[str],
@@ -174,29 +174,30 @@
         skipped = set(excluded)
         enough = len(skipped) + MAX_HOLDERS
         for prefix in reversed(prefixes):
-            held = list(self._holders.of(prefix, members.by_name, skipped, now))
-            for record, probability in held:
+            holders = list(self._holders.of(prefix, members.by_name, skipped, now))
+            for record, probability in holders:
                 skipped.add(record.name)
                 _add_better(
-                    found, Candidate(record, prefix.tokens * probability, known=True)
+                    candidates,
+                    Candidate(record, prefix.tokens * probability, known=True),
                 )
             if len(skipped) >= enough:
                 return
 
     def _add_any(
         self,
-        found: dict[str, Candidate],
+        candidates: dict[str, Candidate],
         members: Members,
         excluded: frozenset[str],
     ) -> None:
         for name, record in members.by_name.items():
             if name not in excluded:
-                found[name] = Candidate(record)
+                candidates[name] = Candidate(record)
                 return
 
 
-def _add_better(found: dict[str, Candidate], candidate: Candidate) -> None:
+def _add_better(candidates: dict[str, Candidate], candidate: Candidate) -> None:
     name = candidate.record.name
-    known = found.get(name)
-    if known is None or candidate.cached_tokens > known.cached_tokens:
-        found[name] = candidate
+    existing = candidates.get(name)
+    if existing is None or candidate.cached_tokens > existing.cached_tokens:
+        candidates[name] = candidate
--- a/gooseberrydale/request/chooser.py
+++ b/gooseberrydale/request/chooser.py
@@ -28,9 +28,7 @@
 
 
 class Chooser:
-    """The upstreams tried for one job; ``left_s`` returns the time left to its
-    deadline.
-    """
+    """The upstreams tried for one job; ``left_s`` returns its remaining time."""
 
     def __init__(self, deps: Deps, job: Job, left_s: Callable[[], float]) -> None:
         self._deps = deps
@@ -75,9 +73,9 @@
                 why = self._none_left(choice.err_value)
                 raise ProblemError(_with_outcome(why, given, may_have_run))
 
-    def _wait_s(self, given: bool, *, is_empty: bool) -> float:
+    def _wait_s(self, delivered: bool, *, is_empty: bool) -> float:
         """Return how long to wait for an upstream before refusing the request."""
-        if given:
+        if delivered:
             return RESUME_WAIT_S
         if is_empty and self._deps.freshness.is_active(_now()):
             return min(MAX_WAIT_S, max(self._left_s(), 0.0))
@@ -112,8 +110,8 @@
         return frozenset(tried)
 
 
-def _with_outcome(why: Problem, given: bool, may_have_run: bool) -> Problem:
-    if given:
+def _with_outcome(why: Problem, delivered: bool, may_have_run: bool) -> Problem:
+    if delivered:
         return why.with_outcome(False)
     return why.with_outcome(None) if may_have_run else why
 
--- a/gooseberrydale/request/comeback.py
+++ b/gooseberrydale/request/comeback.py
@@ -28,16 +28,14 @@
 
 PART_OF_LEFT = 0.25
 """Largest fraction of its remaining time that a caller is asked to wait. Callers retry
-within a third of that time; a quarter leaves them enough for the request itself."""
+within a third of that time; a quarter leaves enough of it for the request itself."""
 
 MIN_RETRY_AFTER_S = 0.05
 """Lower bound of every retry time."""
 
 
 def after_refusal_s(left_s: float) -> float:
-    """Return the seconds until upstreams that refused the request will probably take
-    it.
-    """
+    """Return the seconds until upstreams that refused will probably accept."""
     return _within(AFTER_REFUSAL_S, left_s)
 
 
--- a/gooseberrydale/request/estimate.py
+++ b/gooseberrydale/request/estimate.py
@@ -105,8 +105,8 @@
     def avoid(self, now: float) -> None:
         """Avoid the upstream for a while, whatever load it reports.
 
-        An upstream that can't work refuses at once and so looks idle; its load says
-        nothing.
+        An upstream that can't work refuses at once, so its reported load looks like
+        that of an idle one.
         """
         self._avoided_until = now + AVOID_S
 
--- a/gooseberrydale/request/placement.py
+++ b/gooseberrydale/request/placement.py
@@ -28,8 +28,8 @@
 30,000. The 110,000 of the data sheets hold for a prompt that runs alone."""
 
 OWN_TOKENS_PER_S = 70_000.0
-"""The same rate for the request's own prompt, which nothing interrupts once it has
-started."""
+"""Prompt tokens that an engine computes in a second for the request itself once it has
+started: nothing interrupts it then."""
 
 SLOWDOWN_PER_REQUEST_S = 0.0005
 """Added by each request that runs on the same engine: 20 more requests add 10 ms."""
@@ -54,7 +54,7 @@
 to later requests."""
 
 OLD_WEIGHTS_GRACE_S = 1.5
-"""Callers expect new weights this long after they were announced."""
+"""Time after the announcement of new weights from which callers expect them."""
 
 MOVE_COST_FRACTION = 0.25
 MAX_MOVE_COST_S = 0.4
@@ -65,11 +65,11 @@
 1.6 s costs 0.4 s, one of 0.2 s almost nothing."""
 
 ERROR_PENALTY_S = 0.6
-"""Penalty of an error share of 1. A failed attempt costs the request a second one,
+"""Penalty of an error rate of 1. A failed attempt costs the request a second one,
 which takes about this long."""
 
-BASELINE_ERROR_SHARE = 0.25
-"""Error share that services have in normal operation; a lower share is ignored."""
+BASELINE_ERROR_RATE = 0.25
+"""Error rate that services have in normal operation; a lower rate is ignored."""
 
 OTHER_ZONE_PENALTY_S = 0.002
 """Penalty of another availability zone: a round trip of two milliseconds, and traffic
@@ -249,7 +249,7 @@
     if candidate.far:
         seconds += OTHER_ZONE_PENALTY_S
     return seconds + ERROR_PENALTY_S * max(
-        0.0, candidate.error_share - BASELINE_ERROR_SHARE
+        0.0, candidate.error_share - BASELINE_ERROR_RATE
     )
 
 
--- a/gooseberrydale/request/retry.py
+++ b/gooseberrydale/request/retry.py
@@ -116,7 +116,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Send a CancelReq; report TOMBSTONED, or the same outcome with ``cancel_tried``."""
+    """Ask the sidecar whether the attempt ran, and keep it from starting.
+
+    The next outcome has the cause TOMBSTONED, or ``cancel_tried`` set if that failed.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -174,7 +177,7 @@
 
 
 def _without_attach_refusal(outcome: Outcome) -> Outcome:
-    """Treat a refused attach as a lost connection; it tells nothing of the dispatch."""
+    """Treat a refused attach as a lost connection: it does not refuse the dispatch."""
     refusal = outcome.problem
     if outcome.cause is not Cause.REFUSED or refusal is None:
         return outcome
--- a/gooseberrydale/request/routing.py
+++ b/gooseberrydale/request/routing.py
@@ -42,8 +42,8 @@
 # At this queue time a wasted recomputation counts twice, as it also delays the requests
 # queued there.
 CONGESTED_QUEUE_S = 0.25
-# Added waste weight of a random upstream: other entries would not look for the prefix
-# there, so a copy serves hardly any other request.
+# Extra weight of wasted recomputation at a random upstream: other entries would not
+# look for the prefix there, so a copy serves hardly any other request.
 RANDOM_PICK_WEIGHT = 1.0
 NO_UPSTREAM_RETRY_AFTER_S = 1.0
 # Refusals that carry no information beyond the load reported with them.
@@ -145,9 +145,7 @@
         return Ok(best)
 
     def dispatched(self, choice: Choice, now: float) -> None:
-        """Add the attempt to the upstream's load, and the upstream to the prefix's
-        holders.
-        """
+        """Add the attempt to the upstream's load and its prefixes to the holders."""
         estimate = self._estimates.find(choice.record)
         if estimate is None:
             return
--- a/gooseberrydale/request/timeliness.py
+++ b/gooseberrydale/request/timeliness.py
@@ -48,7 +48,7 @@
 
 LOOK_S = 0.09
 """Mean time between two checks for capacity; the actual time is jittered. It is about
-as long as a gateway takes to learn what the other gateways have sent. With shorter
+as long as a gateway takes to receive what the other gateways have sent. With shorter
 intervals, held requests of many gateways would all be sent to the same engine that has
 become idle."""
 
@@ -69,8 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Goal:
-    """The latency objective of a request, in seconds until its first event (0 if it has
-    none), and its rank; 0 is the highest.
+    """The latency objective of a request and its rank.
+
+    ``objective_s`` is the time in seconds until the first event, 0 without an
+    objective; rank 0 is the highest.
     """
 
     objective_s: float
@@ -122,8 +124,9 @@
 def next_step(
     queue_s: float, own_s: float, wait: Wait, goal: Goal, *, small: bool = False
 ) -> Step:
-    """Return what to do with a request whose best upstream has a queue time of
-    ``queue_s``.
+    """Return what to do with a request that its best upstream would queue.
+
+    ``queue_s`` is the expected queue time there.
     """
     if small or not would_be_late(queue_s, own_s, wait.total_s, goal):
         return Step.SEND
@@ -142,9 +145,7 @@
 
 
 def comes_late(own_s: float, wait: Wait, goal: Goal) -> bool:
-    """Return whether a retried request can no longer meet its objective, given its
-    waits.
-    """
+    """Return whether a retried request can no longer meet its objective."""
     if not goal.objective_s or not wait.prior_wait_s:
         return False
     return wait.total_s + own_s > goal.objective_s * goal.target_fraction
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -15,7 +15,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.connection.messages import Heartbeat, Load
 from gooseberrydale.errors import ErrorKind
-from gooseberrydale.request import demand as demand_module
+from gooseberrydale.request import demand as prefix_rates_module
 from gooseberrydale.request.affinity import (
     MAX_TRACKED_PREFIXES,
     Holders,
@@ -591,10 +591,10 @@
         holders.note(prefixes, POOL_20[0], 0.0)
     assert len(holders) == MAX_TRACKED_PREFIXES
     assert len(estimates) == MAX_ESTIMATES
-    demand = PrefixRates()
-    for number in range(demand_module.MAX_TRACKED_PREFIXES + 10):
-        demand.count(b"%d" % number, 0.0)
-    assert len(demand) == demand_module.MAX_TRACKED_PREFIXES
+    rates = PrefixRates()
+    for number in range(prefix_rates_module.MAX_TRACKED_PREFIXES + 10):
+        rates.count(b"%d" % number, 0.0)
+    assert len(rates) == prefix_rates_module.MAX_TRACKED_PREFIXES
 
 
 snapshots = st.lists(
