--- a/gooseberrydale/request/candidates.py
+++ b/gooseberrydale/request/candidates.py
@@ -4,8 +4,8 @@
 upstreams in a ranked order. Usually only the first is in use. The next one is added
 when all those in use have a queue longer than the pool's mean by more than the time to
 recompute the prompt, or when the rate of requests for the base needs it. Deeper levels,
-such as the description of one lot after the guide, are divided among the upstreams in use, so
-that each is cached where its base is.
+such as the description of one lot after the guide, are divided among the upstreams in
+use, so that each is cached where its base is.
 
 All entries have the same load reports and the same order, so they agree without
 communication. Pure.
--- a/gooseberrydale/request/comeback.py
+++ b/gooseberrydale/request/comeback.py
@@ -44,13 +44,20 @@
     return _within(NO_UPSTREAM_AFTER_S, left_s)
 
 
-def no_room_s(left_s: float, rng: random.Random, turn_s: float | None = None) -> float:
+def no_room_s(
+    left_s: float, rng: random.Random, permit_after_s: float | None = None
+) -> float:
     """Return the seconds until full engines will probably have capacity.
 
-    ``turn_s`` is the time until the first rate limit of an upstream permits another
-    request of this gateway; an upstream without a limit may have capacity sooner.
+    ``permit_after_s`` is the time until the rate limit of an upstream permits another
+    request of this gateway, None without such a limit; other upstreams may have
+    capacity sooner.
     """
-    after_s = NO_ROOM_AFTER_S if turn_s is None else min(turn_s, NO_ROOM_AFTER_S)
+    after_s = (
+        NO_ROOM_AFTER_S
+        if permit_after_s is None
+        else min(permit_after_s, NO_ROOM_AFTER_S)
+    )
     jitter = rng.uniform(1.0 - JITTER_FRACTION, 1.0 + JITTER_FRACTION)
     return _within(after_s * jitter, left_s)
 
