--- a/gooseberrydale/request/draining.py
+++ b/gooseberrydale/request/draining.py
@@ -36,7 +36,7 @@
     """The times of the loop's clock at which the stages of a drain end.
 
     The balancer may send callers until ``listed_until``; answers that are open at
-    ``cut_at`` are aborted.
+    ``abort_at`` are aborted.
     """
 
     listed_until: float
--- a/gooseberrydale/request/placement.py
+++ b/gooseberrydale/request/placement.py
@@ -104,14 +104,15 @@
 
     ``weights`` identifies the weights that computed its cache; a prefix is found only
     under the same weights. ``slots`` and ``kv_tokens`` are its capacity, 0 if unknown.
-    ``home_rank`` is its position in the preference order of the shared prefix, 0 for
-    the preferred upstream.
-
-    ``stored`` says that a store holds the prefix for the upstream's weights,
-    ``store_heard`` that a store reports what it holds, so that ``stored`` can be relied
-    on when it is False. ``old_for_s`` is the time since newer weights were announced,
-    ``far`` says that the upstream is in another availability zone. ``usable`` is False
-    while it is suspected to have failed or carries out an order.
+
+    ``preference_rank`` is its position in the preference order of the shared prefix, 0
+    for the preferred upstream. ``stored`` says that a store holds the prefix for the
+    upstream's weights, ``store_reports`` that a store reports what it holds, so that
+    ``stored`` can be relied on when it is False.
+
+    ``outdated_for_s`` is the time since newer weights were announced, ``far`` says that
+    the upstream is in another availability zone. ``usable`` is False while it is
+    suspected to have failed or carries out an order.
     """
 
     name: str
--- a/gooseberrydale/request/retry_window.py
+++ b/gooseberrydale/request/retry_window.py
@@ -38,7 +38,7 @@
     def spend(self, now: float, keep_part: float = 0.0) -> bool:
         """Take one retry; return False if none may be made now.
 
-        ``keep_part`` is the fraction of the window's retries that is reserved for more
+        ``reserved_fraction`` of the retries allowed in the window are left for more
         important uses.
         """
         self._drop_expired(now)
--- a/gooseberrydale/request/timeliness.py
+++ b/gooseberrydale/request/timeliness.py
@@ -91,7 +91,7 @@
 class Wait:
     """How long a caller has waited.
 
-    ``here_s`` is the time that this request has been held; ``prior_wait_s`` the time
+    ``held_s`` is the time that this request has been held; ``prior_wait_s`` the time
     that the caller spent on earlier attempts that were refused with a retry time.
     """
 
