--- a/gooseberrydale/request/demand.py
+++ b/gooseberrydale/request/demand.py
@@ -41,11 +41,10 @@
 
 
 def preferred_needed(requests: float, entries: int, compute_s: float) -> int:
-    """Return the number of upstreams for ``requests`` at each of ``entries`` in a
-    window.
+    """Return how many preferred upstreams a prefix needs.
 
-    ``compute_s`` is the time that one request leaves to compute at a preferred
-    upstream, in seconds.
+    Each of ``entries`` receives ``requests`` for it in a window. ``compute_s`` is the
+    time that one request leaves to compute at a preferred upstream, in seconds.
     """
     if requests < MIN_REQUESTS:
         return 1
--- a/gooseberrydale/request/freshness.py
+++ b/gooseberrydale/request/freshness.py
@@ -43,8 +43,10 @@
         return now <= self._active_until
 
     async def wait_for(self, condition: Callable[[], bool]) -> None:
-        """Return once ``condition`` holds; waits only while active, up to
-        ``MAX_WAIT_S``.
+        """Return once ``condition`` holds, or when no update is expected any more.
+
+        Returns at once outside the grace period, and after ``MAX_WAIT_S`` at the
+        latest.
         """
         loop = asyncio.get_running_loop()
         if condition() or not self.is_active(loop.time()):
--- a/gooseberrydale/request/gate.py
+++ b/gooseberrydale/request/gate.py
@@ -1,5 +1,4 @@
-"""Decides whether an attempt may start; the only place with exact knowledge of
-attempts.
+"""Decides whether an attempt may start; no other place has exact knowledge of it.
 
 One per sidecar. The record of an attempt exists from its dispatch or cancellation until
 ``retention_s`` after its end. Pure: the current time is an argument.
@@ -55,7 +54,7 @@
     FINISHED = "finished"
     # Refused from now on; it has never run.
     TOMBSTONE = "tombstone"
-    # Refused from now on; the record that would show whether it ran is dropped.
+    # Refused from now on; the record that would show whether it ran may be dropped.
     BARRED = "barred"
 
 
@@ -206,9 +205,7 @@
         )
 
     def _reject_later_starts(self, key: Key, req: DispatchReq, now: float) -> None:
-        """Make sure that a refused attempt, which is reported as not run, never runs
-        later.
-        """
+        """Keep a refused attempt, which is reported as not run, from running later."""
         if req.incarnation == self._incarnation and key not in self._attempts:
             record_retained = self._record_retained(req.record_seq, now)
             phase = Phase.TOMBSTONE if record_retained else Phase.BARRED
--- a/gooseberrydale/request/retry.py
+++ b/gooseberrydale/request/retry.py
@@ -3,8 +3,8 @@
 The decision depends on three facts: whether the attempt may have run, whether the
 request may be repeated, and how much of the answer the caller has received. A request
 that may not be repeated is sent again only if it is known not to have run. Attempts
-after the first are paid from a budget that fresh requests fill, so failures don't
-multiply the load. Pure.
+after the first are paid from a budget that fresh requests fill, so a failing fleet
+receives little more load than a healthy one. Pure.
 """
 
 from __future__ import annotations
--- a/gooseberrydale/request/silence_limit.py
+++ b/gooseberrydale/request/silence_limit.py
@@ -1,5 +1,4 @@
-"""Limits how long a reader waits for bytes, not counting time in which it could not
-read.
+"""Limits how long a reader waits for bytes, counting only time when it could read.
 
 One per read. After a process got no CPU for a second, all its timers are due at once,
 although bytes have arrived meanwhile. With a single timer, every open answer would
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -22,9 +22,9 @@
     queue_s,
 )
 from gooseberrydale.request.timeliness import (
-    NEGLIGIBLE_QUEUE_S,
     LATE_WAIT_S,
     LOOK_S,
+    NEGLIGIBLE_QUEUE_S,
     TOP_RANK_OBJECTIVE_FRACTION,
     Goal,
     Step,
@@ -94,8 +94,7 @@
 
     def __init__(self, engines: int, *, waiting: bool, small: bool, ranks: int) -> None:
         self.rng = random.Random(7)
-        # Callers that check again use another generator, so that the load stays the
-        # same.
+        # Checks use another generator, so that the callers stay the same.
         self.lots = random.Random(8)
         self.pool = [Engine(f"e{number}", []) for number in range(engines)]
         self.waiting, self.small, self.ranks = waiting, small, ranks
@@ -269,9 +268,7 @@
 
 
 def play_many_gateways(pool_size: int, *, update_delay_s: float) -> list[float]:
-    """Return the queue time of each prompt; gateways receive updates of each other
-    late.
-    """
+    """Return the queue time of each prompt if gateways receive updates late."""
     rng = random.Random(5)
     # (time, gateway, engine, end) of each request; a gateway knows its own at once.
     sent: list[tuple[float, int, int, float]] = []
@@ -350,8 +347,7 @@
 
 
 def test_engines_are_filled_up_to_their_memory_and_no_further() -> None:
-    """A held request takes no memory of an engine, so requests that are sent run at
-    once.
+    """Requests that are sent run at once, as a held request takes no memory.
 
     If requests were sent beyond the memory, later ones would preempt them, and their
     prompts would be computed twice.
@@ -382,8 +378,7 @@
 
 
 def play_cold(*, store_reports: bool) -> list[float]:
-    """Return the times to first events right after a change of weights, on four
-    engines.
+    """Return the times to first events on four engines after a change of weights.
 
     Prompts have 2,900 tokens of their own after prefixes of 3,800, none of which is
     computed under the new weights. ``store_reports`` says whether the reports of the
@@ -433,12 +428,8 @@
     return [starts.get(n, math.inf) - at for n, at in arrived.items()]
 
 
-def test_after_a_change_of_weights_more_are_in_time_with_the_reports_of_the_store() -> (
-    None
-):
-    """Preferred upstreams have nothing cached then: 59 of 100 are in time, instead of
-    22.
-    """
+def test_after_a_change_of_weights_store_reports_let_more_be_in_time() -> None:
+    """Preferred upstreams have empty caches then: 59 of 100 are in time, not 22."""
     shares = {
         store_reports: sum(took <= 0.4 for took in waits) / len(waits)
         for store_reports in (False, True)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -173,8 +173,7 @@
     # A preferred upstream is expected to hold four fifths.
     again = choose(policy, route(), pool_of(1), 0.001)
     assert again.expected_ttft_s == pytest.approx(0.4)
-    # The answer to an attempt is sent after the attempt arrived, so its load includes
-    # it.
+    # The answer is sent after the attempt has arrived, so its load includes it.
     policy.observe(choice, accepted(load=idle), 0.002)
     assert choose(policy, route(), pool_of(1), 0.002).expected_ttft_s == 0.0
 
@@ -307,9 +306,8 @@
 def test_lots_are_divided_among_the_preferred_upstreams_of_their_guide() -> None:
     ranked = preferred_of("guide")
 
-    profile = replace(
-        PROFILE, waste_weight=2.0
-    )  # an idle upstream is not chosen instead
+    # Waste counts so much that no idle upstream is chosen instead.
+    profile = replace(PROFILE, waste_weight=2.0)
 
     def used(*queues: float) -> set[str]:
         names = set()
