--- a/gooseberrydale/process/gateway/assignment.py
+++ b/gooseberrydale/process/gateway/assignment.py
@@ -1,7 +1,4 @@
-"""What is known of a request before it is sent anywhere.
-
-Lives for one request.
-"""
+"""A request that was matched to its route, pool and workspace, before it is sent."""
 
 from __future__ import annotations
 
@@ -15,19 +12,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Assignment:
+class RoutedRequest:
     """A request with its route, its pool and its workspace.
 
-    ``began_at`` and ``until`` are the times of the loop between which it lives;
-    ``fingerprint`` is the same for each repeat of the request.
+    ``arrived_at`` and ``deadline_at`` are the event loop's times of its arrival and its
+    deadline; ``fingerprint`` is the same for each repeat of the request.
     """
 
     call: CallerCall
     route: Route
     pool: Pool
     body: bytes
-    began_at: float
-    until: float
+    arrived_at: float
+    deadline_at: float
     workspace: KeyHolder | None
     fingerprint: bytes = b""
 
@@ -39,7 +36,7 @@
 
     @property
     def rank(self) -> int:
-        """Its rank among others, 0 first; a workspace's goes before its route's."""
+        """Its priority, 0 first; a workspace's takes precedence over a route's."""
         holder = self.workspace
         if holder is not None and holder.priority is not None:
             return holder.priority
@@ -47,17 +44,17 @@
 
     @property
     def scope(self) -> str:
-        """Names the workspace if nothing computed for it may be shared with others."""
+        """Name of the workspace if it is isolated and shares no cache, else empty."""
         holder = self.workspace
         return holder.name if holder is not None and holder.isolated else ""
 
     def left_s(self) -> float:
-        """Seconds that the request has left; below 0 once it is over."""
-        return self.until - asyncio.get_running_loop().time()
+        """Seconds until the deadline; below 0 once it has passed."""
+        return self.deadline_at - asyncio.get_running_loop().time()
 
 
-def want_of(job: Assignment) -> Want | None:
-    """What a request needs of its workspace's quota; None without one."""
+def want_of(job: RoutedRequest) -> Want | None:
+    """Return what a request takes of its workspace's quota; None if it has none."""
     holder, prompt = job.workspace, job.call.prompt
     if holder is None or holder.quota is None:
         return None
--- a/gooseberrydale/process/gateway/declared_store.py
+++ b/gooseberrydale/process/gateway/declared_store.py
@@ -1,8 +1,8 @@
-"""The document in force, decoded; lives as long as the process.
+"""Decodes the document that is in force, and waits for newer ones.
 
-A document that this release can't decode is passed over with an error line, and the
-one before it stays in force: it was checked when it was put in force, so only a
-process of another release can have let it through.
+There is one store per process.  A document that this release can't decode is logged as
+an error and skipped; the previous one stays in force.  Documents are checked previous
+they are accepted, so such a document must have been accepted by another release.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 class DeclaredStore:
-    """Follows the configuration; ``table`` is None before the first document."""
+    """Follows the configuration; ``table`` is None until the first document arrives."""
 
     def __init__(self, store: ConfigStore, decode: DecodeDocument) -> None:
         self._store = store
@@ -37,23 +37,23 @@
         self._task: asyncio.Task[None] | None = None
         self.table: RouteTable | None = None
         self.weights = NamedWeights()
-        self._known = asyncio.Event()
+        self._arrived = asyncio.Event()
 
     async def wait(self, timeout_s: float) -> RouteTable | None:
-        """The declarations in force, waited for if there are none yet."""
+        """Return the declarations; wait up to ``timeout_s`` if none have arrived."""
         try:
             async with asyncio.timeout(timeout_s):
-                await self._known.wait()
+                await self._arrived.wait()
         except TimeoutError:
             return None
         return self.table
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the configuration."""
         self._task = asyncio.create_task(self._follow())
 
     async def close(self) -> None:
-        """Stop following."""
+        """Stop following the configuration."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -73,8 +73,8 @@
         match self._decode(body):
             case Err(why):
                 emit(DocumentUnreadable(number, why.message))
-            case found:
-                before, self._number = self._number, number
-                self.table = RouteTable(found.unwrap())
-                self._known.set()
-                emit(DocumentInForce(number, before))
+            case declared:
+                previous, self._number = self._number, number
+                self.table = RouteTable(declared.unwrap())
+                self._arrived.set()
+                emit(DocumentInForce(number, previous))
--- a/gooseberrydale/process/gateway/forward.py
+++ b/gooseberrydale/process/gateway/forward.py
@@ -1,7 +1,7 @@
-"""Takes one request through upstreams until its caller has an answer.
+"""Forwards one request to upstreams until its caller has an answer.
 
-Lives for one request.  It chooses an upstream, has the request sent, and decides after
-each end without a whole answer whether another upstream gets it.
+There is one forwarder per request.  It chooses an upstream, has the request sent, and
+decides after each send without a complete answer whether to send it to another choice.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 )
 from gooseberrydale.log_events import RequestQuarantined, SendEnded, StreamMoved, emit
 from gooseberrydale.process.gateway.answer import CallerAnswer
-from gooseberrydale.process.gateway.assignment import Assignment
-from gooseberrydale.process.gateway.measures import Measures
+from gooseberrydale.process.gateway.assignment import RoutedRequest
+from gooseberrydale.process.gateway.measures import RequestMetrics
 from gooseberrydale.process.gateway.placing import (
-    NoRoomError,
-    Placing,
+    NoCapacityError,
+    Placer,
     QuarantinedError,
 )
-from gooseberrydale.process.gateway.send import Sender, SendParts
+from gooseberrydale.process.gateway.send import SendDeps, Sender
 from gooseberrydale.process.gateway.terms import TermsMaker
 from gooseberrydale.process.quota_charge import QuotaCharge
 from gooseberrydale.request.attempt_end import (
@@ -42,71 +42,72 @@
 from gooseberrydale.request.placement import Candidate
 from gooseberrydale.request.retry_window import RetryWindow
 
-MOVES_KEEP_PART = 0.5
-"""Part of the retries that moving streams to free their upstream leaves to requests
-that would fail without one: two dead engines of six end some hundred streams at once,
-as many as a change of weights has moved in the seconds before."""
+MOVES_RESERVE_FRACTION = 0.5
+"""Fraction of the retry budget that is reserved for requests that fail without a retry;
+streams that move to free their upstream may spend only the rest.  Two dead engines of
+six end some hundred streams at once, and a change of weights may have moved as many in
+the seconds before."""
 
 MS_PER_S = 1_000.0
 
 
 class BrokenAnswerError(Exception):
-    """The answer has begun and can't be made whole; the connection is closed."""
+    """The answer was started but can't be completed, so its connection is closed."""
 
 
-class Forward:
-    """One request on its way; ``run`` returns once the caller has its answer.
+class Forwarder:
+    """Forwards one request; ``run`` returns once the caller has its answer.
 
-    ``outcome`` and ``choices`` tell afterwards what became of it, and why;
-    ``chosen_at`` is when the first upstream was chosen.
+    Afterwards ``outcome`` names the result, ``choices`` holds the upstreams that were
+    chosen, and ``chosen_at`` is the time at which the first one was.
     """
 
     def __init__(
         self,
-        job: Assignment,
+        job: RoutedRequest,
         answer: CallerAnswer,
-        parts: SendParts,
+        deps: SendDeps,
         terms: TermsMaker,
         budget: RetryWindow,
-        measures: Measures,
+        metrics: RequestMetrics,
         charge: QuotaCharge,
     ) -> None:
         self._job = job
-        self._measures = measures
+        self._metrics = metrics
         self._answer = answer
-        self._upstreams = parts.upstreams
+        self._upstreams = deps.upstreams
         self._terms = terms
         self._budget = budget
-        self._sender = Sender(job, answer, parts, self._may_move, charge)
-        self._placing = Placing(job, parts.upstreams, parts.learned)
+        self._sender = Sender(job, answer, deps, self._may_move, charge)
+        self._placer = Placer(job, deps.upstreams, deps.stats)
         self.choices: list[Candidate] = []
         self.chosen_at = 0.0
         self.outcome = "unanswered"
 
     async def run(self) -> None:
-        """Serve the request; raises :class:`BrokenAnswerError` if its answer breaks."""
+        """Serve the request; raise :class:`BrokenAnswerError` if the answer breaks."""
         self._budget.deposit(_now())
         while True:
             try:
-                placed = await self._placing.place()
-            except NoRoomError as exc:
-                await self._refuse_for_now(exc.turn_s)
+                placement = await self._placer.place()
+            except NoCapacityError as exc:
+                await self._refuse_no_capacity(exc.permit_s)
                 return
             except QuarantinedError:
                 await self._refuse_quarantined()
                 return
-            if placed is None:
-                await self._without_upstream()
+            if placement is None:
+                await self._refuse_no_upstream()
                 return
-            end = await self._send(placed.record, placed.chosen)
+            end = await self._send(placement.record, placement.chosen)
             if end is None:
                 self.outcome = "answered"
                 return
-            if not await self._again(end, others=placed.others):
+            if not await self._handle_end(end, others=placement.others):
                 return
 
     async def _refuse_quarantined(self) -> None:
-        """Say at once, and for good, that the request is sent nowhere any more."""
+        """Refuse a quarantined request, which is not sent to any upstream again."""
         digest = shown(self._job.fingerprint)
         ended = self._upstreams.ended_incarnations.blamed_for(self._job.fingerprint)
         emit(RequestQuarantined(self._job.call.request_id, digest, list(ended)))
@@ -123,43 +124,44 @@
         self.choices.append(chosen)
         if not self.chosen_at:
             self.chosen_at = _now()
-            held_s = self.chosen_at - self._job.began_at
-            self._measures.held(self._job.route.name, held_s)
-        work = self._placing.demand.work_at(chosen)
+            held_s = self.chosen_at - self._job.arrived_at
+            self._metrics.held(self._job.route.name, held_s)
+        work = self._placer.demand.work_at(chosen)
         terms = self._terms.make(
             self._job,
             record,
-            late=self._placing.demand.spare_only,
+            late=self._placer.demand.spare_only,
             last_event_id=self._sender.last_event_id,
         )
         return await self._sender.send(record, terms, work)
 
     def _may_move(self, record: UpstreamRecord) -> bool:
-        """Whether a stream leaves an upstream that carries an order out.
+        """Whether to move a stream off an upstream that carries out an order.
 
-        The order waits for the end of the runs there.  Takes a retry if so.
+        The order waits until the upstream has no runs left.  A move spends a retry.
         """
         if self._sender.runs >= self._job.route.max_runs:
             return False
         if not self._upstreams.is_changing(record, _now()):
             return False
-        if not self._placing.any_usable():
+        if not self._placer.any_usable():
             return False
-        return self._budget.spend(_now(), keep_part=MOVES_KEEP_PART)
+        return self._budget.spend(_now(), keep_part=MOVES_RESERVE_FRACTION)
 
-    async def _without_upstream(self) -> None:
+    async def _refuse_no_upstream(self) -> None:
         self.outcome = "no_upstream"
-        if await self._ends_as_sent():
+        if await self._answer_if_sent():
             return
         after_s = without_upstream_s(self._job.left_s())
         pool = self._job.pool.name
         why = problem(NO_UPSTREAM, pool=pool, retry_after_s=after_s)
         await self._answer.refuse(why)
 
-    async def _ends_as_sent(self) -> bool:
-        """Whether the request may have run; its caller then gets what is known of it.
+    async def _answer_if_sent(self) -> bool:
+        """Answer the caller and return True if the request may have run.
 
-        Raises :class:`BrokenAnswerError` if the answer has begun.
+        The answer is the upstream's failure, or that the outcome is unknown.  Raises
+        :class:`BrokenAnswerError` if an answer was already started.
         """
         if self._answer.started:
             raise BrokenAnswerError
@@ -172,24 +174,27 @@
             await self._answer.refuse(problem(OUTCOME_UNKNOWN, not_run=None))
         return True
 
-    async def _refuse_for_now(self, turn_s: float | None) -> None:
-        """The request is not kept until its caller gives up; ``turn_s`` is when an
-        upstream takes the next one, if that is known."""
+    async def _refuse_no_capacity(self, permit_s: float | None) -> None:
+        """Refuse the request with a time to retry instead of holding it for long.
+
+        ``permit_s`` is the time until a rate-limited upstream takes another
+        request, if known.
+        """
         self.outcome = NO_ROOM.code
-        if await self._ends_as_sent():
+        if await self._answer_if_sent():
             return
-        after_s = no_room_s(self._job.left_s(), self._upstreams.rng, turn_s)
+        after_s = no_room_s(self._job.left_s(), self._upstreams.rng, permit_s)
         pool = self._job.pool.name
         await self._answer.refuse(problem(NO_ROOM, pool=pool, retry_after_s=after_s))
 
-    async def _again(self, end: End, *, others: bool) -> bool:
-        """Carry out what an end calls for; say whether to send again."""
+    async def _handle_end(self, end: End, *, others: bool) -> bool:
+        """Handle a send that ended without an answer; return whether to send again."""
         if end is End.MOVED:
             last = self._sender.last_event_id or ""
-            emit(StreamMoved(self._job.call.request_id, self._placing.tried[-1], last))
+            emit(StreamMoved(self._job.call.request_id, self._placer.tried[-1], last))
             return True
         step = after_end(
-            Sends(len(self._placing.tried), self._sender.runs, end),
+            Sends(len(self._placer.tried), self._sender.runs, end),
             repeatable=self._job.repeatable,
             max_runs=self._job.route.max_runs,
             left_s=self._job.left_s(),
@@ -201,7 +206,7 @@
         emit(
             SendEnded(
                 request_id=self._job.call.request_id,
-                upstream=self._placing.tried[-1],
+                upstream=self._placer.tried[-1],
                 end=end.name.lower(),
                 next=type(step).__name__,
                 others=others,
@@ -212,7 +217,7 @@
             )
         )
         if isinstance(step, SendAgain):
-            self._measures.sent_again(end.name.lower())
+            self._metrics.retried(end.name.lower())
             return True
         self.outcome = end.name.lower()
         if self._answer.started:
@@ -226,13 +231,13 @@
         return False
 
     def describe(self) -> list[str]:
-        """The choices made, each with what decided it, for the log."""
+        """Describe each choice and the values it was based on, for the log."""
         return [
-            f"{one.name} rank={one.home_rank} requests={one.load.requests:.1f}"
-            f" prefill={one.load.prefill_tokens:.0f} kv={one.load.kv_tokens:.0f}"
-            f" errors={one.error_share:.2f} usable={one.usable}"
-            f" stored={one.stored} old={one.old_for_s:.1f}"
-            for one in self.choices
+            f"{choice.name} rank={choice.home_rank} requests={choice.load.requests:.1f}"
+            f" prefill={choice.load.prefill_tokens:.0f} kv={choice.load.kv_tokens:.0f}"
+            f" errors={choice.error_share:.2f} usable={choice.usable}"
+            f" stored={choice.stored} old={choice.old_for_s:.1f}"
+            for choice in self.choices
         ]
 
 
--- a/gooseberrydale/process/gateway/front_protocol.py
+++ b/gooseberrydale/process/gateway/front_protocol.py
@@ -1,7 +1,7 @@
-"""The callers' connections of a gateway, bounded as the document in force declares.
+"""The HTTP protocol for callers' connections, with the limits of the document in force.
 
-Lives as long as one connection.  Bounds are read whenever they are needed, so that a
-new document holds for open connections too.
+There is one protocol per connection.  Limits are read each time they are needed, so a
+new document also applies to connections that are already open.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 
 
 def front_protocol(limits: Callable[[], CallerLimits]) -> type[BoundedHttpProtocol]:
-    """The protocol class whose bounds ``limits`` tells."""
+    """Return a protocol class that takes its limits from ``limits``."""
 
     class FrontProtocol(BoundedHttpProtocol):
-        """The bounded protocol with declared bounds and the target as it came."""
+        """A bounded protocol with declared limits that exposes the unparsed target."""
 
         @property
         def head_bytes(self) -> int:  # type: ignore[override]
-            """Bytes of a head."""
+            """Maximum size of a request's head in bytes."""
             return limits().head_bytes
 
         @property
         def head_timeout_s(self) -> float:  # type: ignore[override]
-            """Seconds that a head may take."""
+            """Maximum seconds for receiving a head."""
             return limits().head_timeout_s
 
         @property
         def first_byte_s(self) -> float:  # type: ignore[override]
-            """Seconds that a new connection may stay silent."""
+            """Maximum seconds to the first byte on a new connection."""
             return limits().idle_timeout_s
 
         @property  # type: ignore[override]
         def timeout_keep_alive(self) -> float:
-            """Seconds that a used connection may stay idle."""
+            """Maximum idle seconds between two requests."""
             return limits().idle_timeout_s
 
         @timeout_keep_alive.setter
         def timeout_keep_alive(self, _value: Any) -> None:
-            """The server's own setting gives way to the declared one."""
+            """Ignore the server's own setting; the declared limit applies."""
 
         def on_headers_complete(self) -> None:
-            """Leave the target for the application as the caller wrote it."""
+            """Store the target as the caller wrote it in the application's scope."""
             self.scope["extensions"] = {TARGET: {TARGET: self.url}}
             super().on_headers_complete()
 
--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""Builds the parts of a gateway, starts them, and shuts them down in order."""
+"""Builds the components of a gateway, and starts and stops them in order."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 from gooseberrydale.process import logs
 from gooseberrydale.process.cfg import Cfg, GatewayCfg, NodeCfg, TlsCfg
 from gooseberrydale.process.cfg_file import read_token
-from gooseberrydale.process.gateway.app import GatewayApp, GatewayParts
+from gooseberrydale.process.gateway.app import GatewayApp, GatewayDeps
 from gooseberrydale.process.gateway.declared_store import DeclaredStore, DecodeDocument
 from gooseberrydale.process.gateway.front_protocol import front_protocol
-from gooseberrydale.process.gateway.measures import Measured, Unmeasured
-from gooseberrydale.process.gateway.placing import Learned
+from gooseberrydale.process.gateway.measures import DisabledMetrics, RecordedMetrics
+from gooseberrydale.process.gateway.placing import ObservedStats
 from gooseberrydale.process.gateway.prober import Prober
 from gooseberrydale.process.gateway.retry_budgets import RetryBudgets
-from gooseberrydale.process.gateway.send import SendParts
+from gooseberrydale.process.gateway.send import SendDeps
 from gooseberrydale.process.gateway.store_follower import (
-    Others,
+    Peers,
     StoreFeed,
     StoreFollower,
 )
@@ -65,28 +65,29 @@
     from gooseberrydale.process.metrics import Metrics
 
 SWEEP_S = 0.5
-UNREADY_S = 2.1
-"""Balancers that ask once a second see two refusals in this time, and send no more
-connections."""
+UNREADY_PERIOD_S = 2.1
+"""How long a stopping gateway reports that it is not ready before it closes its
+listener.  A balancer that checks once a second sees two failures within this time and
+sends no more connections."""
 
 CUT_MARGIN_S = 0.15
-"""Open answers are cut this long before the process is killed: closing the rest takes
-about a tenth of a second."""
+"""Open answers are cut off this long before the process is killed, as closing the other
+components takes about a tenth of a second."""
 
-READY_CLOSE_S = 0.1
+READY_CLOSE_TIMEOUT_S = 0.1
 RECORD_LEASE_S = 12.0
-"""How long a gateway that has died is counted among the others: its part of retries and
-connections is left unused for that time, and nobody waits for it."""
+"""How long the other gateways count one that has died.  Its share of retries and
+connections stays unused for that time; no request waits for it."""
 
 GATEWAY_POOL = "#gateways"
-"""No declared pool can have this name, as names of pools are names."""
+"""No declared pool can have this name, because ``#`` is not valid in names of pools."""
 
 
 def _metrics(cfg: Cfg) -> Metrics | None:
-    """The instruments, if the settings ask for a listener."""
+    """Return the metrics; None if the settings ask for no listener."""
     if not cfg.metrics.http:
         return None
-    # Imported here: the libraries for metrics take memory that others can save.
+    # Imported here: without a listener, the metrics libraries would waste memory.
     from gooseberrydale.process.metrics import Metrics
 
     return Metrics(GATEWAY_ROLE, cfg.node.name, cfg.node.zone)
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Dialect:
-    """How a deployment's callers, upstreams and operators write."""
+    """The formats of a deployment: its headers, documents and store calls."""
 
     wire: Wire
     decode_document: DecodeDocument
@@ -102,14 +103,14 @@
 
 
 def gateway_name(node: NodeCfg) -> str:
-    """The name under which a gateway announces itself."""
+    """Return the name under which a gateway announces itself."""
     return f"{GATEWAY_ROLE}/{node.name}"
 
 
 def gateway_record(
     node: NodeCfg, address: str, incarnation: str, link_mbps: float = 0.0
 ) -> UpstreamRecord:
-    """How a gateway announces itself to the other ones."""
+    """Return the record by which a gateway announces itself to the others."""
     return UpstreamRecord(
         name=gateway_name(node),
         incarnation=incarnation,
@@ -125,7 +126,7 @@
 
 
 class Gateway:
-    """One gateway; ``start`` it once and ``close`` it once."""
+    """Runs one gateway; call ``start`` once and ``close`` once."""
 
     def __init__(
         self, cfg: Cfg, dialect: Dialect, rng: random.Random | None = None
@@ -143,7 +144,7 @@
         self._conns = HttpPool()
         self._stores = Stores()
         self._peers = PeerLoads()
-        # Control tells all gateways; they need not tell it of each other.
+        # Control relays these reports between gateways, so gateways need not.
         self.ended_incarnations = EndedIncarnations(relays=False)
         self._upstreams = Upstreams(
             self.directory,
@@ -189,49 +190,53 @@
             self._declared_quotas,
             self._rng,
         )
-        others = Others(
+        peers = Peers(
             self._own_name, self._gateway_links, self._datagrams.spread, self._rng
         )
         self._store = StoreFollower(
-            self._declared, dialect.store_feed, self._stores, others
+            self._declared, dialect.store_feed, self._stores, peers
         )
-        self._datagrams.on(StoreTidings, self._store.hear)
-        sends = SendParts(
+        self._datagrams.on(StoreTidings, self._store.receive)
+        sends = SendDeps(
             dialect.wire,
             self._upstreams,
             self._conns,
-            Learned(RunTimes(), MeanWork(), Patience()),
+            ObservedStats(RunTimes(), MeanWork(), Patience()),
             self._gossip.changed,
             self._connections,
         )
-        parts = GatewayParts(
+        deps = GatewayDeps(
             declared=self._declared,
             sends=sends,
             terms=TermsMaker(self._upstreams),
             budgets=RetryBudgets(self._cfg, self._count_gateways),
             quotas=self.quotas,
-            measures=Unmeasured() if self.metrics is None else Measured(self.metrics),
+            metrics=(
+                DisabledMetrics()
+                if self.metrics is None
+                else RecordedMetrics(self.metrics)
+            ),
             rng=self._rng,
         )
-        self._app = GatewayApp(parts)
+        self._app = GatewayApp(deps)
         protocol = front_protocol(self._limits)
         self._front = HttpServer(self._app, self._cfg.http, TlsCfg(), protocol)
-        self._ready = HttpServer(self._tell_ready, self._cfg.ready, TlsCfg())
+        self._ready = HttpServer(self._serve_readiness, self._cfg.ready, TlsCfg())
         self._prober = Prober(self._upstreams, self._gossip.changed)
-        self._sweeping: asyncio.Task[None] | None = None
+        self._sweep_task: asyncio.Task[None] | None = None
 
     @property
     def addresses(self) -> Mapping[str, str]:
-        """Listeners by name, known once started."""
+        """Addresses of the listeners by name, available once started."""
         return {"http": self._front.address, "ready": self._ready.address}
 
     @property
     def is_ready(self) -> bool:
-        """Whether the balancer shall send connections here."""
+        """Whether the balancer may send connections to this gateway."""
         return self._declared.table is not None and self._app.drain is None
 
     async def start(self) -> None:
-        """Serve; raises OSError if an address can't be bound."""
+        """Start serving; raise OSError if an address can't be bound."""
         await self._datagrams.start()
         await self._gossip.start()
         await self._areas.start()
@@ -241,26 +246,26 @@
         await self._store.start()
         await self._mesh.start()
         await self._prober.start()
-        self._sweeping = asyncio.create_task(self._sweep())
+        self._sweep_task = asyncio.create_task(self._sweep())
         await self._ready.start()
         await self._front.start()
 
     async def close(self) -> None:
-        """Tell the balancer, wait until it knows, then end what is open."""
+        """Report not ready, wait for the balancer to notice, then end open requests."""
         if self._app.drain is not None:
             return
         loop = asyncio.get_running_loop()
-        unready_s = min(UNREADY_S, self._cfg.grace_s / 3)
+        unready_period_s = min(UNREADY_PERIOD_S, self._cfg.grace_s / 3)
         now = loop.time()
-        drain = Drain(now + unready_s, now + self._cfg.grace_s - CUT_MARGIN_S)
+        drain = Drain(now + unready_period_s, now + self._cfg.grace_s - CUT_MARGIN_S)
         self._app.drain = drain
         emit(Draining(self._app.open_requests))
-        await asyncio.sleep(unready_s)
-        await self._front.close(max(READY_CLOSE_S, drain.cut_at - loop.time()))
+        await asyncio.sleep(unready_period_s)
+        await self._front.close(max(READY_CLOSE_TIMEOUT_S, drain.cut_at - loop.time()))
         emit(Drained(self._app.open_requests))
-        await self._ready.close(READY_CLOSE_S)
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        await self._ready.close(READY_CLOSE_TIMEOUT_S)
+        if self._sweep_task is not None:
+            self._sweep_task.cancel()
         await self._prober.close()
         await self.quotas.close()
         await self._limit_gossip.close()
@@ -273,7 +278,7 @@
         self._conns.close()
 
     def read_levels(self, level: Level) -> None:
-        """What holds right now, for a scrape."""
+        """Fill in the current values for a scrape of the metrics."""
         now = asyncio.get_running_loop().time()
         table = self._declared.table
         level.documents = 0 if table is None else table.declared.number
@@ -305,34 +310,34 @@
         )
 
     def _count_gateways(self) -> int:
-        """The gateways known, and at least those that the settings count on."""
+        """Count the announced gateways; at least the number in the settings."""
         now = asyncio.get_running_loop().time()
         known = len(self.directory.ready(GATEWAY_POOL, now))
         return max(self._cfg.gateways, known)
 
     def _connections(self, pool: Pool) -> int | None:
-        """How many connections to one upstream of ``pool`` may be open here."""
+        """How many connections this gateway may open to one upstream of ``pool``."""
         return connection_share(pool.max_connections, self._count_gateways())
 
     def _gateway_links(self) -> dict[str, float]:
-        """The gateways that are known, this one included, and their links in Mbit/s."""
+        """Link rates in Mbit/s of all announced gateways and this one, by name."""
         now = asyncio.get_running_loop().time()
-        found = self.directory.ready(GATEWAY_POOL, now)
-        links = {one.name: one.link_mbps for one in found}
+        gateways = self.directory.ready(GATEWAY_POOL, now)
+        links = {record.name: record.link_mbps for record in gateways}
         return {**links, self._own_name: self._cfg.link_mbps}
 
     def _known_fleet(self) -> Fleet:
-        """All gateways, for those that tell them of work and stores."""
+        """Return all announced gateways, as the recipients of gossip."""
         now = asyncio.get_running_loop().time()
-        found = self.directory.ready(GATEWAY_POOL, now)
-        if found is not self._fleet_source:
-            self._fleet_source = found
-            others = tuple(
-                GatewayPeer(one.name, one.address, one.zone, one.link_mbps)
-                for one in found
-                if one.address != self._cfg.gossip
+        gateways = self.directory.ready(GATEWAY_POOL, now)
+        if gateways is not self._fleet_source:
+            self._fleet_source = gateways
+            peers = tuple(
+                GatewayPeer(record.name, record.address, record.zone, record.link_mbps)
+                for record in gateways
+                if record.address != self._cfg.gossip
             )
-            self._fleet = Fleet(self._fleet.own, others)
+            self._fleet = Fleet(self._fleet.own, peers)
         return self._fleet
 
     def _declared_quotas(self) -> Mapping[str, Quota]:
@@ -349,8 +354,10 @@
         table = self._declared.table
         return CallerLimits() if table is None else table.declared.limits
 
-    async def _tell_ready(self, scope: Scope, _receive: Receive, send: Send) -> None:
-        """Answer on every path: the listener serves the balancer alone."""
+    async def _serve_readiness(
+        self, scope: Scope, _receive: Receive, send: Send
+    ) -> None:
+        """Answer readiness checks on any path, as only balancers connect here."""
         if scope["type"] != "http":
             return
         status = 200 if self.is_ready else 503
--- a/gooseberrydale/process/gateway/measures.py
+++ b/gooseberrydale/process/gateway/measures.py
@@ -1,7 +1,7 @@
-"""What a gateway counts and measures, for scrapes of its metrics.
+"""Records metrics of the requests that a gateway serves.
 
-Lives as long as the process.  The libraries for metrics are loaded only if the settings
-ask for a listener: they take memory and time at the start that others can save.
+There is one recorder per process.  The metrics libraries are loaded only if the
+settings ask for a listener, as they cost memory and start-up time.
 """
 
 from __future__ import annotations
@@ -12,50 +12,53 @@
     from gooseberrydale.process.metrics import Metrics
 
 
-MOST_WORKSPACES = 200
-"""Series of one metric; workspaces beyond that share one."""
+MAX_WORKSPACE_SERIES = 200
+"""Maximum number of series of one metric; further workspaces share one series."""
 
 OTHER_WORKSPACES = "#others"
 
 
-class Measures(Protocol):
-    """What the request path tells."""
+class RequestMetrics(Protocol):
+    """The events of requests that are recorded."""
 
     def request_ended(
         self, route: str, outcome: str, first_s: float, took_s: float
     ) -> None:
-        """A request has ended; ``first_s`` is 0 if no answer began."""
+        """Record the end of a request; ``first_s`` is 0 if no answer was started."""
 
     def held(self, route: str, seconds: float) -> None:
-        """A request waited for its first upstream."""
+        """Record how long a request waited before its first send."""
 
-    def sent_again(self, cause: str) -> None:
-        """A send ended without a whole answer, and another one follows."""
+    def retried(self, cause: str) -> None:
+        """Record a retry after a send that ended without a complete answer."""
 
     def over_quota(self, workspace: str, cost: int) -> None:
-        """A request that counts ``cost`` was refused for its quota."""
+        """Record that a request of cost ``cost`` was refused for its quota."""
 
 
-class Unmeasured:
-    """Measures nothing."""
+class DisabledMetrics:
+    """Records nothing; used without a metrics listener."""
 
     def request_ended(
         self, route: str, outcome: str, first_s: float, took_s: float
     ) -> None:
-        """Nothing."""
+        """Do nothing."""
 
     def held(self, route: str, seconds: float) -> None:
-        """Nothing."""
+        """Do nothing."""
 
-    def sent_again(self, cause: str) -> None:
-        """Nothing."""
+    def retried(self, cause: str) -> None:
+        """Do nothing."""
 
     def over_quota(self, workspace: str, cost: int) -> None:
-        """Nothing."""
+        """Do nothing."""
 
 
-class Measured:
-    """Tells the instruments of ``metrics``; a route stands in place of a profile."""
+class RecordedMetrics:
+    """Records with the instruments of ``metrics``.
+
+    A gateway's metrics name the route where other roles name the profile.
+    """
 
     def __init__(self, metrics: Metrics) -> None:
         self._instruments = metrics.instruments
@@ -75,14 +78,14 @@
         """Record the time before the first send."""
         self._instruments.held_s.record(seconds, {"profile": route})
 
-    def sent_again(self, cause: str) -> None:
+    def retried(self, cause: str) -> None:
         """Count a retry by its cause."""
         self._instruments.retries.add(1, {"cause": cause})
 
     def over_quota(self, workspace: str, cost: int) -> None:
-        """Count what was refused of a workspace; many of them are counted together."""
+        """Count refused cost by workspace; those beyond the maximum share a name."""
         known = self._workspaces
-        if workspace not in known and len(known) >= MOST_WORKSPACES:
+        if workspace not in known and len(known) >= MAX_WORKSPACE_SERIES:
             workspace = OTHER_WORKSPACES
         known.add(workspace)
         self._instruments.over_quota.add(cost, {"workspace": workspace})
--- a/gooseberrydale/process/gateway/observed_incarnation.py
+++ b/gooseberrydale/process/gateway/observed_incarnation.py
@@ -1,9 +1,8 @@
-"""Notes what a request or a question learned of one incarnation of an upstream, with
-its line.
+"""Records and logs whether one incarnation of an upstream could be reached.
 
-The load is the one of the incarnation that was asked: another incarnation may bear the
-name by the time that the answer is there, and what is said of the earlier one must not
-touch it.
+The functions take the load of the incarnation that a request or a probe was sent to.
+Another incarnation may have the same name by the time of the answer, and observations
+of the earlier one must not be attributed to it.
 """
 
 from __future__ import annotations
@@ -15,22 +14,22 @@
 
 
 def suspect(name: str, load: UpstreamLoad, now: float, reason: str) -> None:
-    """Leave an upstream alone that could not be reached, or broke off."""
+    """Pause sends to an upstream that was unreachable or closed a connection."""
     for_ms = load.unreachable(now) * MS_PER_S
     emit(UpstreamSuspected(name, for_ms, load.failures, reason))
 
 
 def answered(name: str, load: UpstreamLoad, *, failed: bool) -> None:
-    """An upstream gave an answer of its own; ``failed`` says of what kind."""
-    _tell_back(name, load.answered(failed=failed))
+    """Record an answer of an upstream; ``failed`` is whether it was a server error."""
+    _log_recovery(name, load.answered(failed=failed))
 
 
 def reached(name: str, load: UpstreamLoad, now: float) -> None:
-    """An upstream granted a connection that was asked for to see if it is there."""
+    """Record that an upstream accepted a probe's connection."""
     load.silence.reached(now)
-    _tell_back(name, load.reached())
+    _log_recovery(name, load.reached())
 
 
-def _tell_back(name: str, failures: int) -> None:
+def _log_recovery(name: str, failures: int) -> None:
     if failures:
         emit(UpstreamBack(name, failures))
--- a/gooseberrydale/process/gateway/placing.py
+++ b/gooseberrydale/process/gateway/placing.py
@@ -1,7 +1,7 @@
-"""Finds the upstream that a request is sent to next, and waits until it takes it.
+"""Chooses the upstream that a request is sent to next, and waits for one to be usable.
 
-Lives for one request.  What decides is in ``request/placement.py`` and
-``request/timeliness.py``; this asks them again while the request waits.
+There is one placer per request.  The rules are in ``request/placement.py`` and
+``request/hold_policy.py``; the placer applies them repeatedly while the request waits.
 """
 
 from __future__ import annotations
@@ -10,8 +10,8 @@
 from dataclasses import dataclass, replace
 
 from gooseberrydale.connection.mesh import UpstreamRecord
-from gooseberrydale.process.gateway.assignment import Assignment
-from gooseberrydale.process.gateway.upstreams import Sought, Upstreams, demand_of
+from gooseberrydale.process.gateway.assignment import RoutedRequest
+from gooseberrydale.process.gateway.upstreams import UpstreamQuery, Upstreams, demand_of
 from gooseberrydale.request.placement import (
     Candidate,
     Demand,
@@ -34,19 +34,20 @@
 from gooseberrydale.version.run_times import RunTimes
 
 HOLD_S = 0.8
-"""A request waits this long for an upstream that takes work: a change of weights ends
-in that time.  Callers would come back no sooner, and only once."""
+"""How long a request waits for a usable upstream at most.  A change of weights ends
+within this time.  A caller that was refused instead would not retry any sooner, and
+only once."""
 
-HOLD_PART = 0.25
-"""Part of the time that a request has left which it may wait; the rest is for its work
-or for another try."""
+HOLD_FRACTION = 0.25
+"""Fraction of its remaining time that a request may wait; the rest is for running it or
+for another attempt."""
 
-HOLD_POLL_S = 0.02
+HOLD_POLL_INTERVAL_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
-class Learned:
-    """What the process has observed of routes and pools."""
+class ObservedStats:
+    """Statistics that the process collects about routes and pools."""
 
     run_times: RunTimes
     mean_work: MeanWork
@@ -54,45 +55,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
-    """Where the request goes; ``others`` says whether another upstream is left."""
+class Placement:
+    """The chosen upstream; ``others`` is whether other candidates remain."""
 
     record: UpstreamRecord
     chosen: Candidate
     others: bool
 
 
-class NoRoomError(Exception):
-    """Every upstream that was weighed would answer too late.
+class NoCapacityError(Exception):
+    """Every upstream that was considered would answer too late.
 
-    ``turn_s`` is when one of them takes the next request, if they limit what they take.
+    ``permit_s`` is the time in seconds until one of them takes another request,
+    if all of them limit their rate.
     """
 
-    def __init__(self, turn_s: float | None = None) -> None:
+    def __init__(self, permit_s: float | None = None) -> None:
         super().__init__()
-        self.turn_s = turn_s
+        self.permit_s = permit_s
 
 
 class QuarantinedError(Exception):
-    """The request ends its upstreams, so it is sent to none of them."""
+    """Earlier runs of the request ended their upstreams, so it is not sent again."""
 
 
-_Found = list[tuple[UpstreamRecord, Candidate]]
+_Candidates = list[tuple[UpstreamRecord, Candidate]]
 
 
-class Placing:
-    """Places one request, again for each send; ``tried`` has the upstreams so far."""
+class Placer:
+    """Chooses the upstream for each send of one request.
 
-    def __init__(self, job: Assignment, upstreams: Upstreams, learned: Learned) -> None:
+    ``tried`` holds the names of the upstreams that were chosen so far.
+    """
+
+    def __init__(
+        self, job: RoutedRequest, upstreams: Upstreams, stats: ObservedStats
+    ) -> None:
         self._job = job
         self._upstreams = upstreams
-        self._mean_work = learned.mean_work
+        self._mean_work = stats.mean_work
         self._goal = Goal(job.route.objective_s, job.rank)
-        run_s = learned.run_times.expected_s(job.route.name)
+        run_s = stats.run_times.expected_s(job.route.name)
         self._demand: Demand = replace(demand_of(job.call.prompt), run_s=run_s)
-        self._before_s = 0.0
+        self._prior_wait_s = 0.0
         if self._demand.is_prompt:
-            self._before_s = learned.patience.waited_before_s(
+            self._prior_wait_s = stats.patience.waited_before_s(
                 job.route.name, job.call.wait_s
             )
         self._mean_tokens: float | None = None
@@ -101,48 +108,50 @@
 
     @property
     def demand(self) -> Demand:
-        """What the request needs."""
+        """The capacity that the request needs of an upstream."""
         return self._demand
 
-    async def place(self) -> Placed | None:
-        """Where to send the request; None if no upstream is known for it.
+    async def place(self) -> Placement | None:
+        """Return the upstream for the next send; None if there is no candidate.
 
-        Waits for a little if none of them takes work, and while all would answer late.
-        Raises :class:`NoRoomError` if that can't be helped in time, and
-        :class:`QuarantinedError` as soon as that is known, here or from other gateways.
+        Waits a limited time while no candidate is usable or all would answer late.
+        Raises :class:`NoCapacityError` if that does not change in time.  Raises
+        :class:`QuarantinedError` once this or another gateway has quarantined the
+        request, also during the wait.
         """
         while True:
-            found = await self._usable_candidates()
-            chosen = self._choose([one for _, one in found])
+            candidates = await self._usable_candidates()
+            chosen = self._choose([candidate for _, candidate in candidates])
             if chosen is None:
-                self._refuse_without_turn(_now())
+                self._raise_if_rate_limited(_now())
                 return None
             match self._next_step(chosen):
                 case Step.SEND:
-                    record = next(r for r, one in found if one.name == chosen.name)
+                    record = next(r for r, c in candidates if c.name == chosen.name)
                     self.tried.append(record.name)
                     self._upstreams.limits.sent(record.name, _now())
-                    return Placed(record, chosen, others=len(found) > 1)
+                    return Placement(record, chosen, others=len(candidates) > 1)
                 case Step.COME_BACK:
-                    raise NoRoomError
+                    raise NoCapacityError
             await asyncio.sleep(pause_s(self._left_s, self._upstreams.rng))
 
     def any_usable(self) -> bool:
-        """Whether another upstream would take the request now."""
-        return any(one.usable for _, one in self._candidates())
+        """Whether an upstream that was not tried would take the request now."""
+        return any(candidate.usable for _, candidate in self._candidates())
 
-    def _choose(self, found: list[Candidate]) -> Candidate | None:
-        return choose(found, self._demand, self._upstreams.rng)
+    def _choose(self, candidates: list[Candidate]) -> Candidate | None:
+        return choose(candidates, self._demand, self._upstreams.rng)
 
     def _next_step(self, chosen: Candidate) -> Step:
-        """What becomes of the request if ``chosen`` is the best one for it.
+        """Decide whether to send the request to ``chosen``, the best candidate.
 
-        One that was sent before, here or by another gateway, goes on as it is.
+        A request that was sent before, by this or another gateway, is sent without
+        waiting.
         """
         resumed = self._job.call.last_event_id is not None
         if self.tried or resumed or not self._demand.is_prompt:
             return Step.SEND
-        wait = Wait(_now() - self._job.began_at, self._before_s)
+        wait = Wait(_now() - self._job.arrived_at, self._prior_wait_s)
         own = own_s(chosen, self._demand)
         self._left_s = longest_wait_s(own, wait, self._goal) - wait.here_s
         if comes_late(own, wait, self._goal) and not self._demand.spare_only:
@@ -152,7 +161,7 @@
         return next_step(queued, own, wait, self._goal, small=small)
 
     def _is_small(self, chosen: Candidate) -> bool:
-        """Whether little is to be computed, against other prompts of the pool."""
+        """Whether the prompt needs little computation, compared to its pool's mean."""
         pool = self._job.pool.name
         tokens = self._demand.work_at(chosen).prefill_tokens
         if self._mean_tokens is None:
@@ -160,41 +169,44 @@
             self._mean_work.sent(pool, tokens)
         return is_small(tokens, self._mean_tokens)
 
-    async def _usable_candidates(self) -> _Found:
-        """The candidates, waited for a little if none of them takes work."""
-        until = _now() + min(HOLD_S, self._job.left_s() * HOLD_PART)
+    async def _usable_candidates(self) -> _Candidates:
+        """Return the candidates, after a limited wait while none of them is usable."""
+        until = _now() + min(HOLD_S, self._job.left_s() * HOLD_FRACTION)
         candidates = self._allowed_candidates()
-        while not any(one.usable for _, one in candidates) and _now() < until:
+        while not any(c.usable for _, c in candidates) and _now() < until:
             if not candidates:
-                self._refuse_without_turn(until)
-            await asyncio.sleep(HOLD_POLL_S)
+                self._raise_if_rate_limited(until)
+            await asyncio.sleep(HOLD_POLL_INTERVAL_S)
             candidates = self._allowed_candidates()
         return candidates
 
-    def _refuse_without_turn(self, until: float) -> None:
-        """Raise :class:`NoRoomError` if no upstream takes the request by ``until``, as
-        all of them limit what they take."""
+    def _raise_if_rate_limited(self, until: float) -> None:
+        """Raise :class:`NoCapacityError` if the request can't be sent by ``until``.
+
+        That is, all upstreams limit their rate or back off for longer than that.
+        """
         now = _now()
-        turn_s = self._upstreams.next_turn_s(self._sought(), now)
-        if turn_s is not None and now + turn_s > until:
-            raise NoRoomError(turn_s)
+        permit_s = self._upstreams.next_permit_s(self._query(), now)
+        if permit_s is not None and now + permit_s > until:
+            raise NoCapacityError(permit_s)
 
-    def _allowed_candidates(self) -> _Found:
-        """The candidates, asked for anew at each look.
+    def _allowed_candidates(self) -> _Candidates:
+        """Return the current candidates, unless the request is quarantined.
 
-        Repeats of a request have ids of their own and come to any gateway, so what
-        they have ended is known only from what all gateways tell.
+        The check is repeated at each poll: repeats of a request have ids of their own
+        and arrive at any gateway, so the reports of other gateways may quarantine it
+        while it waits here.
         """
         if self._upstreams.ended_incarnations.is_quarantined(self._job.fingerprint):
             raise QuarantinedError
         return self._candidates()
 
-    def _candidates(self) -> _Found:
-        return self._upstreams.candidates(self._sought(), _now())
+    def _candidates(self) -> _Candidates:
+        return self._upstreams.candidates(self._query(), _now())
 
-    def _sought(self) -> Sought:
+    def _query(self) -> UpstreamQuery:
         job = self._job
-        return Sought(job.pool, job.call.prompt, job.scope, self.tried)
+        return UpstreamQuery(job.pool, job.call.prompt, job.scope, self.tried)
 
 
 def _now() -> float:
--- a/gooseberrydale/process/gateway/prober.py
+++ b/gooseberrydale/process/gateway/prober.py
@@ -1,11 +1,11 @@
-"""Finds out whether upstreams that fall silent are there, without harming a caller.
+"""Probes silent upstreams with connections, so that no request is needed as a test.
 
-Lives as long as the process.  A machine that loses its power resets nothing: requests
-wait there until the kernel gives their bytes up, after three seconds, and each one that
-is tried again to see whether it is back is lost as well.  So an upstream from which
-nothing comes while requests wait is asked for a connection, and so is one that was left
-alone, before its time is over.  Which upstreams are asked, and what follows, is decided
-in ``version/silence.py``.
+There is one prober per process.  A machine that loses power resets no connections:
+requests to it wait for three seconds, until the kernel gives up their bytes, and any
+request that is sent to find out whether it is up again is lost as well.  So the prober
+opens a connection to an upstream that sends nothing while requests are open, and to a
+suspected one shortly before its pause ends.  The rules that decide which upstreams are
+probed, and what follows from the result, are in ``version/silence.py``.
 """
 
 from __future__ import annotations
@@ -21,29 +21,29 @@
 from gooseberrydale.process.gateway.observed_incarnation import reached, suspect
 from gooseberrydale.process.gateway.upstreams import Upstreams
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 MS_PER_S = 1_000.0
 
 
 class Prober:
-    """One task that looks, and one short one for each question."""
+    """Polls for upstreams that are due, and probes each one in a task of its own."""
 
     def __init__(self, upstreams: Upstreams, changed: Callable[[], None]) -> None:
-        """``changed`` is called when an upstream was found to be silent."""
+        """Call ``changed`` whenever an upstream was found to be silent."""
         self._upstreams = upstreams
         self._changed = changed
-        self._looking: asyncio.Task[None] | None = None
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._polling: asyncio.Task[None] | None = None
+        self._probes: dict[str, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Begin to look."""
-        self._looking = asyncio.create_task(self._run())
+        """Start polling."""
+        self._polling = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Ask nobody any more."""
-        tasks = list(self._asking.values())
-        if self._looking is not None:
-            tasks.append(self._looking)
+        """Stop polling and cancel all probes."""
+        tasks = list(self._probes.values())
+        if self._polling is not None:
+            tasks.append(self._polling)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -51,18 +51,18 @@
     async def _run(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            self._ask_all(self._upstreams.doubtful(loop.time()))
-            await asyncio.sleep(LOOK_S)
+            self._probe_all(self._upstreams.due_for_probe(loop.time()))
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def _ask_all(self, records: Iterable[UpstreamRecord]) -> None:
+    def _probe_all(self, records: Iterable[UpstreamRecord]) -> None:
         for record in records:
-            if record.name not in self._asking:
+            if record.name not in self._probes:
                 task = asyncio.create_task(self._ask(record))
-                self._asking[record.name] = task
+                self._probes[record.name] = task
                 task.add_done_callback(partial(self._forget, record.name))
 
     def _forget(self, name: str, _: asyncio.Task[None]) -> None:
-        self._asking.pop(name, None)
+        self._probes.pop(name, None)
 
     async def _ask(self, record: UpstreamRecord) -> None:
         loop = asyncio.get_running_loop()
@@ -72,10 +72,10 @@
         try:
             conn = await HttpConn.open(record.address)
         except UpstreamError as exc:
-            dead = silence.unanswered(loop.time())
-            if dead or exc.refused:
+            is_dead = silence.unanswered(loop.time())
+            if is_dead or exc.refused:
                 self._upstreams.ended(record.name, load, loop.time(), str(exc))
-            if not dead:
+            if not is_dead:
                 return
             suspect(record.name, load, loop.time(), str(exc))
             broken = silence.give_up()
--- a/gooseberrydale/process/gateway/save_memory.py
+++ b/gooseberrydale/process/gateway/save_memory.py
@@ -1,32 +1,33 @@
-"""Remembers which prefixes this process has just had saved.  Pure.
+"""Remembers for which prefixes this process has recently requested a save.  Pure.
 
-Lives as long as the process.  The events of the store tell of a save only once it is
-done; until then further requests with the same prefix need not save it again.
+There is one record per process.  A KV cache store reports a save only when it has
+finished; until then, other requests with the same prefix need not request it again.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-PATIENCE_S = 1.5
-"""A save comes after the prompt is computed and waits for the link: under a second."""
+SAVE_TIMEOUT_S = 1.5
+"""A save that is not reported within this time is requested again.  It starts when the
+prompt is computed and waits for the link, which takes less than a second."""
 
-KEPT = 4_096
+MAX_ENTRIES = 4_096
 
 
-class SaveMemory:
-    """Times of the last saves that were asked for."""
+class RecentSaves:
+    """The times at which saves were last requested, by salt and prefix key."""
 
     def __init__(self) -> None:
-        self._asked: OrderedDict[tuple[str, str], float] = OrderedDict()
+        self._requested: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def due(self, salt: str, key: str, now: float) -> bool:
-        """Whether to ask for a save of this prefix now; notes it if so."""
-        asked_at = self._asked.pop((salt, key), None)
-        if asked_at is not None and now < asked_at + PATIENCE_S:
-            self._asked[salt, key] = asked_at
+        """Return whether to request a save of this prefix now, and record it if so."""
+        requested_at = self._requested.pop((salt, key), None)
+        if requested_at is not None and now < requested_at + SAVE_TIMEOUT_S:
+            self._requested[salt, key] = requested_at
             return False
-        self._asked[salt, key] = now
-        if len(self._asked) > KEPT:
-            self._asked.popitem(last=False)
+        self._requested[salt, key] = now
+        if len(self._requested) > MAX_ENTRIES:
+            self._requested.popitem(last=False)
         return True
--- a/gooseberrydale/process/gateway/send.py
+++ b/gooseberrydale/process/gateway/send.py
@@ -1,7 +1,8 @@
-"""Sends one request to an upstream and passes its answer on to the caller.
+"""Sends one request to an upstream and forwards its answer to the caller.
 
-Lives for one request, and may send it several times, one after the other.  What went
-out to the caller stays: a stream that is resumed goes on after its last whole event.
+There is one sender per request; it may send the request several times in sequence.
+Bytes that the caller has received can't be taken back, so a stream that is resumed
+continues after its last complete event.
 """
 
 from __future__ import annotations
@@ -15,10 +16,10 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.connection.sse import EventCutter, SseError
 from gooseberrydale.connection.upstream_reply import UpstreamError
-from gooseberrydale.process.gateway.answer import HOP_HEADERS, CallerAnswer
-from gooseberrydale.process.gateway.assignment import Assignment
+from gooseberrydale.process.gateway.answer import HOP_BY_HOP_HEADERS, CallerAnswer
+from gooseberrydale.process.gateway.assignment import RoutedRequest
 from gooseberrydale.process.gateway.observed_incarnation import answered, suspect
-from gooseberrydale.process.gateway.placing import Learned
+from gooseberrydale.process.gateway.placing import ObservedStats
 from gooseberrydale.process.gateway.upstreams import Upstreams
 from gooseberrydale.process.quota_charge import QuotaCharge
 from gooseberrydale.request.attempt_end import End
@@ -33,15 +34,18 @@
 from gooseberrydale.version.open_runs import Run, RunEnd
 from gooseberrydale.version.upstream_load import UpstreamLoad, Work
 
-LAST_WORD_S = 0.05
-"""How much longer than the request's time an answer is waited for: the upstream ends
-by itself then, and can say that it did not run what still waits there."""
+ANSWER_GRACE_S = 0.05
+"""How long past the request's deadline the gateway waits for an answer.  The upstream
+ends the request at the deadline itself, and its answer may state that a request that
+was still queued did not run."""
 
-MAX_WHOLE_BYTES = 16 * 1024 * 1024
-"""An answer that is collected before it goes out; services answer some kilobytes."""
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024
+"""Limit of an answer that is buffered before it is forwarded; answers of services have
+some kilobytes."""
 
-UNSURE_STATUS = frozenset({408, 421, 429, 503})
-"""Callers take these as "has not run"; without the upstream's word nobody knows."""
+AMBIGUOUS_STATUSES = frozenset({408, 421, 429, 503})
+"""Callers read these as "has not run".  Unless the upstream states so as well, the
+request may have run."""
 
 FIRST_SERVER_STATUS = 500
 
@@ -49,48 +53,48 @@
     End.LOST: RunEnd.BROKE,
     End.TIMED_OUT: RunEnd.LEFT,
 }
-"""Ends at which the upstream may have been gone."""
+"""Results of a send after which the upstream may have ended."""
 
 
 class _MoveStreamError(Exception):
-    """The stream goes on at another upstream, as this one has to become free."""
+    """The stream continues at another upstream, because this one has to become idle."""
 
 
 @dataclass(frozen=True, slots=True)
-class SendParts:
-    """What sends need of the process.
+class SendDeps:
+    """Objects that all sends of the process share.
 
-    ``work_changed`` is called at each change; ``connections`` tells how many may be
-    open to one upstream of a pool.
+    ``work_changed`` is called whenever this gateway's work at an upstream changes;
+    ``connections`` returns how many connections to one upstream of a pool may be open.
     """
 
     wire: Wire
     upstreams: Upstreams
     conns: HttpPool
-    learned: Learned
+    stats: ObservedStats
     work_changed: Callable[[], None]
     connections: Callable[[Pool], int | None]
 
 
 class Sender:
-    """Sends of one request.
+    """Sends one request, possibly several times.
 
-    ``may_move`` is asked after each part of a stream that may be resumed whether it
-    shall go on elsewhere.  ``runs`` counts the sends that may have run, ``failure`` is
-    the last failure that an upstream itself answered with.
+    ``may_move`` is called after each chunk of a resumable stream; if it returns True
+    the stream continues at another upstream.  ``runs`` counts the sends that may have
+    run; ``failure`` is the last failure that an upstream itself answered with.
     """
 
     def __init__(
         self,
-        job: Assignment,
+        job: RoutedRequest,
         answer: CallerAnswer,
-        parts: SendParts,
+        deps: SendDeps,
         may_move: Callable[[UpstreamRecord], bool],
         charge: QuotaCharge,
     ) -> None:
         self._job = job
         self._answer = answer
-        self._parts = parts
+        self._deps = deps
         self._may_move = may_move
         self._charge = charge
         self._prefilled = False
@@ -102,31 +106,31 @@
     async def send(
         self, record: UpstreamRecord, terms: Terms, work: Work
     ) -> End | None:
-        """Send the request once; None if the caller has the whole answer."""
-        load = self._parts.upstreams.load_of(record.name)
+        """Send the request once; return None if the caller has the complete answer."""
+        load = self._deps.upstreams.load_of(record.name)
         self._prefilled = False
         self._run = None
-        how = RunEnd.LEFT
+        run_end = RunEnd.LEFT
         load.began(work)
         load.silence.opened(_now())
-        self._parts.work_changed()
+        self._deps.work_changed()
         try:
-            end = await self._until_end(record, terms, load, work)
-            how = _RUN_ENDS.get(end, RunEnd.ANSWERED)
+            end = await self._exchange_until_deadline(record, terms, load, work)
+            run_end = _RUN_ENDS.get(end, RunEnd.ANSWERED)
             return end
         finally:
             if self._run is not None:
-                upstreams = self._parts.upstreams
-                upstreams.run_ended(record.name, load, self._run, _now(), how)
+                upstreams = self._deps.upstreams
+                upstreams.run_ended(record.name, load, self._run, _now(), run_end)
             load.ended(work, prefilled=self._prefilled)
             load.silence.closed()
-            self._parts.work_changed()
+            self._deps.work_changed()
 
-    async def _until_end(
+    async def _exchange_until_deadline(
         self, record: UpstreamRecord, terms: Terms, load: UpstreamLoad, work: Work
     ) -> End | None:
         try:
-            async with asyncio.timeout_at(self._job.until + LAST_WORD_S):
+            async with asyncio.timeout_at(self._job.deadline_at + ANSWER_GRACE_S):
                 return await self._exchange(record, terms, load, work)
         except TimeoutError:
             return End.TIMED_OUT
@@ -136,22 +140,22 @@
     async def _exchange(
         self, record: UpstreamRecord, terms: Terms, load: UpstreamLoad, work: Work
     ) -> End | None:
-        conns, sure = self._parts.conns, not self._job.repeatable
-        at, bound = (record.address, record.name), self._bound()
+        conns, sure = self._deps.conns, not self._job.repeatable
+        pool_key, bound = (record.address, record.name), self._max_connections()
         try:
-            conn = await conns.take(*at, sure=sure, bound=bound)
+            conn = await conns.take(*pool_key, sure=sure, bound=bound)
         except ConnectionsTakenError:
             return End.NOT_SENT
         except UpstreamError as exc:
             suspect(record.name, load, _now(), str(exc))
             if exc.refused:
-                self._parts.upstreams.ended(record.name, load, _now(), str(exc))
+                self._deps.upstreams.ended(record.name, load, _now(), str(exc))
             return End.NOT_SENT
         whole = False
         if self._job.repeatable:
             load.silence.watch(conn.abort)
         try:
-            end = await self._use(conn, record, terms, load, work)
+            end = await self._exchange_on(conn, record, terms, load, work)
             whole = True
             return end
         except UpstreamError as exc:
@@ -162,23 +166,27 @@
         finally:
             load.silence.unwatch(conn.abort)
             if whole:
-                conns.give_back(*at, conn, bound)
+                conns.give_back(*pool_key, conn, bound)
             else:
-                conns.drop(*at)
-                self._leave(conn)
+                conns.drop(*pool_key)
+                self._abandon(conn)
 
-    def _bound(self) -> int | None:
-        return self._parts.connections(self._job.pool)
+    def _max_connections(self) -> int | None:
+        return self._deps.connections(self._job.pool)
 
-    def _leave(self, conn: HttpConn) -> None:
-        """Give up an answer; what must not run twice may still end by itself."""
+    def _abandon(self, conn: HttpConn) -> None:
+        """Abandon an answer.
+
+        The connection of a request that must not run twice stays open until the
+        deadline, so that its run is not cut short.
+        """
         if self._job.repeatable or self._job.route.streamed or not conn.sent:
             conn.abort()
             return
         delay_s = max(0.0, self._job.left_s())
         asyncio.get_running_loop().call_later(delay_s, conn.abort)
 
-    async def _use(
+    async def _exchange_on(
         self,
         conn: HttpConn,
         record: UpstreamRecord,
@@ -186,14 +194,14 @@
         load: UpstreamLoad,
         work: Work,
     ) -> End | None:
-        """Send on ``conn`` and read the answer; raises :class:`UpstreamError`."""
-        job, wire = self._job, self._parts.wire
+        """Send on ``conn`` and forward the answer; may raise :class:`UpstreamError`."""
+        job, wire = self._job, self._deps.wire
         headers = wire.request_headers(job.call, terms)
         conn.send(_request_head(job.call, headers, len(job.body)), job.body)
         self.runs += 1
         self._charge.sent()
         self._run = load.runs.began(job.fingerprint)
-        raw = await conn.head(self._is_mine)
+        raw = await conn.head(self._is_own_answer)
         load.silence.heard(_now())
         head = wire.read_answer(raw.status, raw.headers)
         if head.load is not None:
@@ -205,29 +213,31 @@
         if not head.ok:
             return await self._take_failure(conn, head, record, load)
         if not head.signed or head.encoded:
-            raise UpstreamError("the answer is not the upstream's own", sent=True)
+            raise UpstreamError(
+                "the answer has no upstream stamp or is encoded", sent=True
+            )
         if job.route.streamed:
             await self._pass_stream(conn, head, record, load, work)
         else:
             body = await _read_whole(conn)
             await self._answer.whole(head.status, head.headers, body)
         answered(record.name, load, failed=False)
-        self._parts.upstreams.ended_incarnations.answered(job.fingerprint, _now())
+        self._deps.upstreams.ended_incarnations.answered(job.fingerprint, _now())
         return None
 
     def _note_backpressure(self, head: AnswerHead, record: UpstreamRecord) -> None:
-        """Note what an upstream that is short of capacity asks for."""
-        upstreams = self._parts.upstreams
+        """Record the limit, backoff or leave notice in the head of an answer."""
+        upstreams = self._deps.upstreams
         upstreams.limited(record.name, head.limit_per_s, _now())
         if head.retry_after_s is not None:
             upstreams.back_off(record.name, head.retry_after_s, _now())
         if head.leaving:
             upstreams.leaving(record.name, _now())
 
-    def _is_mine(self, raw: ResponseHead) -> bool:
-        head = self._parts.wire.read_answer(raw.status, raw.headers)
+    def _is_own_answer(self, raw: ResponseHead) -> bool:
+        head = self._deps.wire.read_answer(raw.status, raw.headers)
         if head.request_id is None:
-            # An upstream that could not read the request does not know its id.
+            # An upstream that could not parse the request answers without its id.
             return not head.ok
         return head.request_id == self._job.call.request_id
 
@@ -237,8 +247,8 @@
         self.runs -= 1
         self._charge.not_run()
         await _read_whole(conn)
-        gone = head.instance not in (None, record.name)
-        self._parts.upstreams.refused(record.name, _now(), gone=gone)
+        replaced = head.instance not in (None, record.name)
+        self._deps.upstreams.refused(record.name, _now(), replaced=replaced)
         return End.REFUSED
 
     async def _take_failure(
@@ -251,7 +261,7 @@
         body = await _read_whole(conn)
         failed = head.status >= FIRST_SERVER_STATUS
         answered(record.name, load, failed=failed)
-        if head.status in UNSURE_STATUS and not self._job.repeatable:
+        if head.status in AMBIGUOUS_STATUSES and not self._job.repeatable:
             return End.INVALID
         if failed or self._answer.started:
             self.failure = head, body
@@ -270,11 +280,11 @@
         cutter = EventCutter() if self._job.route.resumable else None
         headers = head.headers
         if cutter is not None:
-            # A resumed answer has another length than its first upstream says.
+            # A resumed answer may differ in length from the one first announced.
             headers = tuple(h for h in headers if h[0] != b"content-length")
         async for data in conn.body():
             load.silence.heard(_now())
-            self._note_first_part(load, work)
+            self._note_first_chunk(load, work)
             if not self._answer.started:
                 await self._answer.start(head.status, headers)
             if cutter is None:
@@ -289,15 +299,15 @@
             await self._answer.write(cutter.rest)
         await self._answer.end()
         run_s = _now() - self._answer.started_at
-        self._parts.learned.run_times.ended(self._job.route.name, run_s)
+        self._deps.stats.run_times.ended(self._job.route.name, run_s)
 
-    def _note_first_part(self, load: UpstreamLoad, work: Work) -> None:
+    def _note_first_chunk(self, load: UpstreamLoad, work: Work) -> None:
         if not self._prefilled:
             self._prefilled = True
             if self._run is not None:
                 self._run.answering = True
             load.first_part(work)
-            self._parts.work_changed()
+            self._deps.work_changed()
 
     async def _write_events(self, cutter: EventCutter, data: bytes) -> None:
         try:
@@ -313,7 +323,9 @@
 def _request_head(call: CallerCall, headers: RawHeaders, size: int) -> bytes:
     lines = [f"{call.method} {call.target} HTTP/1.1".encode("latin-1")]
     lines += [
-        name + b": " + value for name, value in headers if name not in HOP_HEADERS
+        name + b": " + value
+        for name, value in headers
+        if name not in HOP_BY_HOP_HEADERS
     ]
     if size or call.method in ("POST", "PUT", "PATCH"):
         lines.append(b"content-length: %d" % size)
@@ -321,14 +333,16 @@
 
 
 async def _read_whole(conn: HttpConn) -> bytes:
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     async for data in conn.body():
         size += len(data)
-        if size > MAX_WHOLE_BYTES:
-            raise UpstreamError(f"an answer is over {MAX_WHOLE_BYTES} bytes", sent=True)
-        parts.append(data)
-    return b"".join(parts)
+        if size > MAX_BUFFERED_BYTES:
+            raise UpstreamError(
+                f"the answer is larger than {MAX_BUFFERED_BYTES} bytes", sent=True
+            )
+        chunks.append(data)
+    return b"".join(chunks)
 
 
 def _now() -> float:
--- a/gooseberrydale/process/gateway/store_follower.py
+++ b/gooseberrydale/process/gateway/store_follower.py
@@ -1,8 +1,9 @@
-"""Keeps the views of the declared stores of KV cache up to date.
+"""Keeps the views of the declared KV cache stores up to date.
 
-Lives as long as the process, with one task for each store.  A gateway that follows a
-store has one call waiting there until something happens; that it returns shows that
-the store is there.  The other gateways hear of it by datagrams.
+There is one follower per process, with one task for each store.  A gateway that follows
+a store keeps one long-polling call open there; each return shows that the store is up.
+In larger deployments only some gateways follow a store, and relay its changes to the
+others in datagrams.
 """
 
 from __future__ import annotations
@@ -33,77 +34,79 @@
 from gooseberrydale.version.store_view import StoreNews, StoreView
 from gooseberrydale.version.stores import Stores
 
-LOOK_S = 0.25
-"""Between two looks at the document, and at what other gateways told."""
+POLL_INTERVAL_S = 0.25
+"""Interval for checking the document for stores and the time of the last message."""
 
-GATHER_S = 0.1
-"""Events that come meanwhile share a call; a save takes about as long."""
+GATHER_PAUSE_S = 0.1
+"""Pause between two calls, so that events within it share a call.  A save takes about
+as long."""
 
 LOST_PAUSE_S = 0.3
-"""Between two calls to a store that does not answer."""
+"""Pause between two calls to a store that does not answer."""
 
 BUSY_PAUSE_S = 2.0
-"""A store that has enough followers is asked again after this; gateways that know of
-each other share the following out in that time."""
+"""Pause after a store refused another follower.  Gateways that have just started learn
+of each other in this time and agree which of them follow the store."""
 
-LIST_SPREAD_S = 1.0
-"""Gateways that lost their relay read the whole list spread over this time."""
+LIST_READ_SPREAD_S = 1.0
+"""Gateways that lost their relays read the complete list, spread over this time."""
 
 
 @dataclass(frozen=True, slots=True)
-class Followed:
-    """News since a number, and the number to ask for next."""
+class FollowReply:
+    """Changes of a store, and the event number to ask for next."""
 
-    news: StoreNews
+    update: StoreNews
     next: int
 
 
 class StoreBusyError(Exception):
-    """The store has as many followers as it takes."""
+    """The store refuses the call because it has its maximum number of followers."""
 
 
 class StoreFeed(Protocol):
-    """Calls to a store."""
+    """Interface of the calls to a store."""
 
-    async def follow(self, address: str, since: int) -> Followed | None:
-        """News after ``since``, as soon as there are some, or none after a second.
+    async def follow(self, address: str, since: int) -> FollowReply | None:
+        """Wait for changes after ``since``; return an empty reply after a second.
 
-        None if the store does not answer; raises :class:`StoreBusyError`.
+        None if the store does not answer; may raise :class:`StoreBusyError`.
         """
 
-    async def read_all(self, address: str) -> Followed | None:
-        """All that the store holds; dear, so only where events don't tell."""
+    async def read_all(self, address: str) -> FollowReply | None:
+        """Read the complete contents; expensive, so only used if events were missed."""
 
 
 @dataclass(frozen=True, slots=True)
-class Others:
-    """The other gateways and how to tell them; ``own`` is the name of this one.
+class Peers:
+    """The other gateways and how to reach them; ``own`` is the name of this one.
 
-    ``links`` has all of them, this one included, with the links of their nodes.
-    ``tell`` takes the lane as well by which a message goes: relays use different ones.
+    ``links`` returns the link rates of all gateways, this one included, by name.
+    ``send`` takes a message and the lane to send it in; each relay has a lane of its
+    own.
     """
 
     own: str
     links: Callable[[], Mapping[str, float]]
-    tell: Callable[[StoreTidings, int], None]
+    send: Callable[[StoreTidings, int], None]
     rng: random.Random
 
 
 class StoreFollower:
-    """Follows all declared stores; ``stores`` has what is known of them."""
+    """Follows all declared stores and updates their views in ``stores``."""
 
     def __init__(
-        self, declared: DeclaredStore, feed: StoreFeed, stores: Stores, others: Others
+        self, declared: DeclaredStore, feed: StoreFeed, stores: Stores, peers: Peers
     ) -> None:
         self._declared = declared
         self._feed = feed
         self._stores = stores
-        self._others = others
+        self._peers = peers
         self._task: asyncio.Task[None] | None = None
-        self._followings: dict[str, _Following] = {}
+        self._subscriptions: dict[str, _Subscription] = {}
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Start following the declared stores."""
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
@@ -111,46 +114,46 @@
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        await self._keep(())
+        await self._follow_only(())
 
-    def hear(self, told: StoreTidings) -> None:
-        """Another gateway passes on what a store told it."""
-        following = self._followings.get(told.address)
-        if following is not None:
-            following.hear(told)
+    def receive(self, message: StoreTidings) -> None:
+        """Handle a message that another gateway relays from a store."""
+        subscription = self._subscriptions.get(message.address)
+        if subscription is not None:
+            subscription.receive(message)
 
     async def _run(self) -> None:
         while True:
             table = self._declared.table
             stores = () if table is None else table.declared.stores
-            await self._keep([store.address for store in stores])
-            await asyncio.sleep(LOOK_S)
+            await self._follow_only([store.address for store in stores])
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    async def _keep(self, addresses: Collection[str]) -> None:
-        """Follow the stores at ``addresses`` and no others."""
-        if self._followings.keys() == set(addresses):
+    async def _follow_only(self, addresses: Collection[str]) -> None:
+        """Follow the stores at ``addresses`` and stop following all others."""
+        if self._subscriptions.keys() == set(addresses):
             return
         self._stores.declare(addresses)
-        for address in self._followings.keys() - set(addresses):
-            await self._followings.pop(address).close()
+        for address in self._subscriptions.keys() - set(addresses):
+            await self._subscriptions.pop(address).close()
         for address in addresses:
             view = self._stores.view(address)
-            if address not in self._followings and view is not None:
-                following = _Following(view, self._feed, self._others)
-                self._followings[address] = following
-                following.start()
+            if address not in self._subscriptions and view is not None:
+                subscription = _Subscription(view, self._feed, self._peers)
+                self._subscriptions[address] = subscription
+                subscription.start()
 
 
-class _Following:
+class _Subscription:
     """Keeps the view of one store up to date."""
 
-    def __init__(self, view: StoreView, feed: StoreFeed, others: Others) -> None:
+    def __init__(self, view: StoreView, feed: StoreFeed, peers: Peers) -> None:
         self._view = view
         self._feed = feed
-        self._others = others
+        self._peers = peers
         self._since: int | None = None
-        self._heard_at = -math.inf
-        # Whether the list was read since this gateway began to listen.
+        self._received_at = -math.inf
+        # Whether the list was read since this gateway began to depend on relays.
         self._listed = False
         self._task: asyncio.Task[None] | None = None
 
@@ -162,91 +165,91 @@
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def hear(self, told: StoreTidings) -> None:
-        if self._part() is not Part.LISTEN:
+    def receive(self, message: StoreTidings) -> None:
+        if self._role() is not Part.LISTEN:
             return
-        self._heard_at = asyncio.get_running_loop().time()
-        if told.up:
-            self._take(StoreNews(told.incarnation, told.events))
+        self._received_at = asyncio.get_running_loop().time()
+        if message.up:
+            self._apply(StoreNews(message.incarnation, message.events))
         else:
-            self._lose()
+            self._mark_lost()
 
-    def _part(self) -> Part:
-        links = self._others.links()
-        return part_of(self._others.own, links, self._view.address)
+    def _role(self) -> Part:
+        links = self._peers.links()
+        return part_of(self._peers.own, links, self._view.address)
 
     async def _run(self) -> None:
         while True:
-            part = self._part()
-            if part is Part.LISTEN:
+            role = self._role()
+            if role is Part.LISTEN:
                 await self._listen()
             else:
-                await self._follow(relay=part is Part.RELAY)
+                await self._follow(relay=role is Part.RELAY)
 
     async def _listen(self) -> None:
-        """Begin with the whole list; then the relays tell, unless they are gone."""
+        """Read the complete list, then depend on relays until they fall silent."""
         now = asyncio.get_running_loop().time()
-        if self._listed and now < self._heard_at + RELAY_SILENT_S:
-            await asyncio.sleep(LOOK_S)
+        if self._listed and now < self._received_at + RELAY_SILENT_S:
+            await asyncio.sleep(POLL_INTERVAL_S)
             return
-        await asyncio.sleep(self._others.rng.uniform(0.0, LIST_SPREAD_S))
+        await asyncio.sleep(self._peers.rng.uniform(0.0, LIST_READ_SPREAD_S))
         self._since = None
-        found = await self._call()
-        if found is not None:
-            self._take(found.news)
+        reply = await self._call()
+        if reply is not None:
+            self._apply(reply.update)
         self._listed = True
-        # The relays get as long again before the next list.
-        self._heard_at = asyncio.get_running_loop().time()
+        # Wait the full silence bound again before the next list.
+        self._received_at = asyncio.get_running_loop().time()
 
     async def _follow(self, *, relay: bool) -> None:
-        """One call, and what follows from its answer."""
+        """Make one call to the store and apply its reply."""
         self._listed = False
         try:
-            found = await self._call()
+            reply = await self._call()
         except StoreBusyError:
             emit(StoreBusy(self._view.address))
             await asyncio.sleep(BUSY_PAUSE_S)
             return
-        if found is None:
+        if reply is None:
             if relay:
-                self._pass_on(StoreNews("", ()), up=False)
+                self._relay(StoreNews("", ()), up=False)
             await asyncio.sleep(LOST_PAUSE_S)
             return
-        if found.news.missed:
+        if reply.update.missed:
             emit(StoreEventsMissed(self._view.address))
             self._since = None
             return
-        whole, self._since = self._since is None, found.next
-        self._take(found.news)
+        whole, self._since = self._since is None, reply.next
+        self._apply(reply.update)
         if relay:
-            # Those who listen have read the list themselves.
-            told = StoreNews(found.news.incarnation, ()) if whole else found.news
-            self._pass_on(told, up=True)
-        await asyncio.sleep(GATHER_S)
+            # Gateways that depend on relays have read the list themselves.
+            relayed = StoreNews(reply.update.incarnation, ()) if whole else reply.update
+            self._relay(relayed, up=True)
+        await asyncio.sleep(GATHER_PAUSE_S)
 
-    async def _call(self) -> Followed | None:
-        """Ask the store; None, and its view is lost, if it does not answer."""
+    async def _call(self) -> FollowReply | None:
+        """Call the store; if it does not answer, mark its view as lost."""
         address = self._view.address
         if self._since is None:
-            found = await self._feed.read_all(address)
+            reply = await self._feed.read_all(address)
         else:
-            found = await self._feed.follow(address, self._since)
-        if found is None:
-            self._lose()
-        return found
-
-    def _pass_on(self, news: StoreNews, *, up: bool) -> None:
-        address, links = self._view.address, self._others.links()
-        lane = lane_of(self._others.own, links, address) or 0
-        for told in tidings(address, news.incarnation, news.events, up=up):
-            self._others.tell(told, lane)
-
-    def _take(self, news: StoreNews) -> None:
+            reply = await self._feed.follow(address, self._since)
+        if reply is None:
+            self._mark_lost()
+        return reply
+
+    def _relay(self, update: StoreNews, *, up: bool) -> None:
+        address, links = self._view.address, self._peers.links()
+        lane = lane_of(self._peers.own, links, address) or 0
+        for message in tidings(address, update.incarnation, update.events, up=up):
+            self._peers.send(message, lane)
+
+    def _apply(self, update: StoreNews) -> None:
         if not self._view.up:
             emit(StoreFound(self._view.address))
-        self._view.take(news)
+        self._view.take(update)
 
-    def _lose(self) -> None:
+    def _mark_lost(self) -> None:
         if self._view.up:
             emit(StoreLost(self._view.address))
         self._view.lost()
--- a/gooseberrydale/process/gateway/terms.py
+++ b/gooseberrydale/process/gateway/terms.py
@@ -1,6 +1,7 @@
-"""What the router adds to one send: who may run it, where cache is found, its rank.
+"""Makes the terms that the router adds to a send.
 
-Lives as long as the process.
+Terms name the incarnation that may run the request, where it gets cached prefixes, and
+its priority.  There is one maker per process.
 """
 
 from __future__ import annotations
@@ -9,8 +10,8 @@
 from dataclasses import replace
 
 from gooseberrydale.connection.mesh import UpstreamRecord
-from gooseberrydale.process.gateway.assignment import Assignment
-from gooseberrydale.process.gateway.save_memory import SaveMemory
+from gooseberrydale.process.gateway.assignment import RoutedRequest
+from gooseberrydale.process.gateway.save_memory import RecentSaves
 from gooseberrydale.process.gateway.upstreams import (
     Upstreams,
     cache_salt,
@@ -18,33 +19,32 @@
 )
 from gooseberrydale.request.gateway_call import Terms
 
-LAST_RANK = 9
-"""The lowest rank that engines know."""
+LOWEST_RANK = 9
+"""The lowest rank that engines accept."""
 
-
-LATE_RANKS = 6
-"""What a request loses in rank that can't be in time any more: more than declarations
-give, so that engines begin with all others first."""
+LATE_RANK_PENALTY = 6
+"""Added to the rank of a request that can't meet its objective any more.  It is more
+than declarations give, so engines start all other requests first."""
 
 
 class TermsMaker:
-    """Makes the terms of sends; remembers what it asked engines to save."""
+    """Makes the terms of sends and remembers which saves it requested."""
 
     def __init__(self, upstreams: Upstreams) -> None:
         self._upstreams = upstreams
-        self._saves = SaveMemory()
+        self._saves = RecentSaves()
 
     def make(
         self,
-        job: Assignment,
+        job: RoutedRequest,
         record: UpstreamRecord,
         *,
         late: bool,
         last_event_id: str | None,
     ) -> Terms:
-        """The terms of sending ``job`` to one incarnation of an upstream.
+        """Return the terms of sending ``job`` to one incarnation of an upstream.
 
-        ``late`` says that it can't be in time any more.
+        ``late`` is whether the request can't meet its objective any more.
         """
         holder = job.workspace
         terms = Terms(
@@ -61,13 +61,15 @@
             terms,
             weights_version=weights_version(record),
             cache_salt=salt,
-            priority=min(LAST_RANK, job.rank + LATE_RANKS * late),
+            priority=min(LOWEST_RANK, job.rank + LATE_RANK_PENALTY * late),
             fetch_from=fetch_from,
             save_to=save_to,
         )
 
-    def _transfers(self, job: Assignment, salt: str) -> tuple[str | None, str | None]:
-        """Where the engine gets what it lacks of the prompt, and where it puts it."""
+    def _transfers(
+        self, job: RoutedRequest, salt: str
+    ) -> tuple[str | None, str | None]:
+        """Return the stores to fetch the shared prefix from, and to save it to."""
         shared = () if job.call.prompt is None else job.call.prompt.shared
         store = self._upstreams.stores.of(shared)
         if store is None:
@@ -76,5 +78,5 @@
             return store.address, None
         now = asyncio.get_running_loop().time()
         due = self._saves.due(salt, shared[-1].key, now)
-        # Another gateway may have had it saved just now; a look in vain takes 1 ms.
+        # Fetch anyway: another gateway may just have saved it, and a miss costs 1 ms.
         return store.address, store.address if due else None
--- a/gooseberrydale/process/gateway/upstreams.py
+++ b/gooseberrydale/process/gateway/upstreams.py
@@ -1,7 +1,8 @@
-"""The upstreams of each pool as this process sees them, ready for a choice.
+"""The upstreams of each pool and their state, as input for choosing one.
 
-Lives as long as the process.  Records come from the directory; what this process
-learns of an incarnation of an upstream itself stands beside them and ends with it.
+There is one ``Upstreams`` per process.  Records come from the directory; what this
+process itself observes of an incarnation of an upstream is stored beside its record and
+dropped once the incarnation has ended.
 """
 
 from __future__ import annotations
@@ -35,25 +36,25 @@
 
 MS_PER_S = 1_000.0
 
-GONE_AVOID_S = 60.0
-"""An incarnation whose address another one has taken is over: until its record is
-gone."""
+REPLACED_AVOID_S = 60.0
+"""How long an incarnation is avoided after another one was found at its address: it
+has ended, and its record expires within this time."""
 
 REFUSED_AVOID_S = 0.25
-"""An upstream that has just refused a request; half of the time that a change of
-weights takes, and that of some runs, after which places get free."""
+"""How long an upstream is avoided after it refused a request: half of the time that a
+change of weights takes, and that of some runs, whose end frees slots."""
 
 OLD_WEIGHTS_MARGIN_S = 2.5
-"""Work may wait for its start inside an engine; so engines with overtaken weights get
-none for this long before it may not start there any more.  Callers give up after 2 to
-2.4 s without an event; requests that gave way began up to 2.3 s after their send."""
+"""How long before the bound on outdated weights an engine stops getting new work,
+as work may wait inside the engine before it starts.  Callers give up after 2 to 2.4 s
+without an event; preempted requests started up to 2.3 s after they were sent."""
 
 
 @dataclass(frozen=True, slots=True)
-class Sought:
-    """What a request looks for: an upstream of ``pool`` that was not tried.
+class UpstreamQuery:
+    """What a request needs: an upstream of ``pool`` that is not in ``tried``.
 
-    ``scope`` keeps equal prompts apart that share no cache.
+    ``scope`` separates equal prompts of workspaces that must not share a cache.
     """
 
     pool: Pool
@@ -70,11 +71,12 @@
 
 
 class Upstreams:
-    """Pools by name, and what is known of each upstream.
+    """The pools by name, and the state of each upstream.
 
-    ``weights_bound_s`` is for how long work may start on overtaken weights; ``stores``
-    are those of KV cache, ``limits`` the rates that upstreams limit themselves to.
-    What ran at those that end is told to ``ended_incarnations``.
+    ``weights_bound_s`` is how long work may still start on outdated weights.
+    ``stores`` are the KV cache stores, ``limits`` the rate limits that upstreams
+    announce.  The runs that an upstream loses when it ends are reported to
+    ``ended_incarnations``.
     """
 
     def __init__(
@@ -100,53 +102,55 @@
         self.limits = limits
         self._pools: dict[str, _PoolView] = {}
         self._loads: dict[str, UpstreamLoad] = {}
-        # The incarnation of each upstream that the load is of.
+        # The incarnation of each upstream that its entry in ``_loads`` belongs to.
         self._incarnations: dict[str, str] = {}
         self._at_address: dict[str, str] = {}
 
     def load_of(self, name: str) -> UpstreamLoad:
-        """What this process knows of the incarnation ``name`` of an upstream."""
+        """Return the state of the current incarnation of upstream ``name``."""
         if name not in self._loads:
             self._loads[name] = UpstreamLoad(self._incarnations.get(name, ""))
         return self._loads[name]
 
-    def refused(self, name: str, now: float, *, gone: bool) -> None:
-        """An upstream did not take a request; ``gone`` says that its incarnation is
-        over."""
-        self.load_of(name).avoid(now, GONE_AVOID_S if gone else REFUSED_AVOID_S)
-        if gone:
+    def refused(self, name: str, now: float, *, replaced: bool) -> None:
+        """Avoid an upstream that refused a request.
+
+        ``replaced`` is whether another incarnation answered at its address.
+        """
+        self.load_of(name).avoid(now, REPLACED_AVOID_S if replaced else REFUSED_AVOID_S)
+        if replaced:
             self.ended(
                 name, self.load_of(name), now, "another incarnation has its address"
             )
 
     def ended(self, name: str, load: UpstreamLoad, now: float, reason: str) -> None:
-        """An incarnation of an upstream has ended, with all that it ran.
+        """Record that an incarnation of an upstream has ended and its runs are lost.
 
-        One that has said that it leaves ends by itself; long streams meet several of
-        these while upstreams are replaced one after the other.
+        The runs of an upstream that announced that it leaves are not blamed for its
+        end: a long stream meets several of those during a rolling replacement.
         """
-        known = load.runs.is_over
+        was_over = load.runs.is_over
         lost = load.runs.over(now)
         record = self._directory.get(name, now)
         if not load.is_leaving and (record is None or not record.leaving):
             self.ended_incarnations.report(
                 incarnation_name(name, load.incarnation), lost, now
             )
-        if lost or not known:
-            waiting = [shown(one) for one in lost.waiting]
-            answering = [shown(one) for one in lost.answering]
+        if lost or not was_over:
+            waiting = [shown(run) for run in lost.waiting]
+            answering = [shown(run) for run in lost.answering]
             emit(UpstreamEnded(name, reason, waiting, answering))
 
     def run_ended(
         self, name: str, load: UpstreamLoad, run: Run, now: float, end: RunEnd
     ) -> None:
-        """A send to an incarnation of an upstream has ended."""
+        """Record the end of a send to an incarnation of an upstream."""
         load.runs.ended(run, now, end)
         if load.runs.is_over and end is not RunEnd.ANSWERED:
             self.ended(name, load, now, "a connection broke after the end")
 
     def refusing(self, now: float) -> tuple[str, ...]:
-        """The upstreams that refused a request of this process just now."""
+        """The upstreams that recently refused a request of this process."""
         return tuple(
             name
             for name, load in self._loads.items()
@@ -154,15 +158,15 @@
         )
 
     def peer_refused(self, names: Collection[str], now: float) -> None:
-        """Another gateway was refused by these upstreams just now."""
+        """Avoid upstreams that recently refused a request of another gateway."""
         for name in names:
             load = self.load_of(name)
             if load.avoid_until <= now:
                 load.avoid(now, REFUSED_AVOID_S, told=True)
 
-    def doubtful(self, now: float) -> list[UpstreamRecord]:
-        """Upstreams that shall be asked now whether they are there."""
-        found = []
+    def due_for_probe(self, now: float) -> list[UpstreamRecord]:
+        """Upstreams that are to be probed now to find out whether they are alive."""
+        due = []
         for view in self._pools.values():
             for record in view.records:
                 load = self._loads.get(record.name)
@@ -170,24 +174,24 @@
                     continue
                 broke = load.runs.take_doubt()
                 if load.silence.is_doubtful(now, load.suspect_until) or broke:
-                    found.append(record)
-        return found
+                    due.append(record)
+        return due
 
     def silent(self, now: float) -> tuple[str, ...]:
-        """The upstreams that this process takes for dead."""
+        """The upstreams that this process suspects to be dead."""
         return tuple(
             name for name, load in self._loads.items() if load.suspect_until > now
         )
 
     def peer_silent(self, names: Collection[str], now: float) -> None:
-        """Another gateway takes these upstreams for dead; they are asked."""
+        """Have upstreams probed that another gateway suspects to be dead."""
         for name in names:
             load = self.load_of(name)
             if load.suspect_until <= now and load.silence.doubt(now):
                 load.avoid(now, REFUSED_AVOID_S, told=True)
 
     def works(self) -> tuple[UpstreamWork, ...]:
-        """This process's work at each upstream, for the other gateways."""
+        """This process's work at each upstream, to be sent to the other gateways."""
         return tuple(
             UpstreamWork(name, *load.own)
             for name, load in self._loads.items()
@@ -195,91 +199,95 @@
         )
 
     def records(self, pool: str, now: float) -> tuple[UpstreamRecord, ...]:
-        """The upstreams of ``pool`` that take new work, as far as is known.
+        """Return the announced upstreams of ``pool`` that take new work.
 
-        If none is announced any more, the last ones known stay: that every upstream
-        is gone at once is less likely than that nobody is there to announce them to.
-        One that has said that it leaves is never among them.
+        If none is announced any more, the last announced ones are returned: that no
+        control replica receives announcements is likelier than that all upstreams have
+        ended at once.  One that announced that it leaves is never included.
         """
         ready = self._directory.ready(pool, now)
         view = self._pools.get(pool)
         if view is None:
             view = self._pools[pool] = _PoolView((), (), Members(pool, ""))
         if not ready:
-            view.records = tuple(r for r in view.records if self._may_stay(r, now))
+            view.records = tuple(r for r in view.records if self._may_retain(r, now))
         elif view.source is not ready:
             view.source = view.records = ready
-            self._forget_earlier_incarnations(ready, now)
+            self._replace_earlier_incarnations(ready, now)
             view.members.refresh(ready)
         return view.records
 
     def candidates(
-        self, sought: Sought, now: float
+        self, query: UpstreamQuery, now: float
     ) -> list[tuple[UpstreamRecord, Candidate]]:
-        """The upstreams that may take the request, with what speaks for each.
+        """Return the upstreams that may take the request, with their state for ranking.
 
-        Those that have served overtaken weights for too long, or that take nothing from
-        this gateway now, are left out.
+        Left out are upstreams whose weights have been outdated for too long, and those
+        that back off or have no permit for this gateway now.
         """
         records = [
             record
-            for record in self._sought_records(sought, now)
-            if self._turn_s(record, now) <= 0.0
+            for record in self._eligible_records(query, now)
+            if self._permit_wait_s(record, now) <= 0.0
         ]
-        ranks = self._home_ranks(sought)
-        stored = self._stored(records, sought)
+        ranks = self._preference_ranks(query)
+        stored = self._stored(records, query)
         if not ranks:
-            # Nothing tells equal upstreams apart; every process draws its own order.
+            # Equal upstreams would be tried in the same order by every process.
             self.rng.shuffle(records)
-        unseen = self._unseen(records)
-        found = [
-            (record, self._candidate(record, sought, ranks, stored, unseen, now))
+        unreported = self._unreported_work(records)
+        candidates = [
+            (record, self._candidate(record, query, ranks, stored, unreported, now))
             for record in records
         ]
         bound_s = self._weights_bound_s
-        in_time = [pair for pair in found if pair[1].old_for_s < bound_s]
+        in_time = [pair for pair in candidates if pair[1].old_for_s < bound_s]
         if not ranks:
             return in_time
         by_name = {record.name: record for record, _ in in_time}
-        settled = homes_in_reach(one for _, one in in_time)
-        return [(by_name[one.name], one) for one in settled]
-
-    def next_turn_s(self, sought: Sought, now: float) -> float | None:
-        """Seconds until an upstream takes the request, if all of them limit what they
-        take; None if one of them does not, or none is known."""
-        turns = [self._turn_s(one, now) for one in self._sought_records(sought, now)]
-        soonest = min(turns, default=0.0)
+        ranked = homes_in_reach(candidate for _, candidate in in_time)
+        return [(by_name[candidate.name], candidate) for candidate in ranked]
+
+    def next_permit_s(self, query: UpstreamQuery, now: float) -> float | None:
+        """Seconds until the first upstream takes the request.
+
+        None if one takes requests now, or if there is no eligible upstream.
+        """
+        permit_waits_s = [
+            self._permit_wait_s(record, now)
+            for record in self._eligible_records(query, now)
+        ]
+        soonest = min(permit_waits_s, default=0.0)
         return soonest if soonest > 0.0 else None
 
     def limited(self, name: str, per_s: float | None, now: float) -> None:
-        """An answer of an upstream names a limit of its rate, or none."""
-        before_per_s = self.limits.per_s(name)
+        """Record the rate limit in an upstream's answer; None if it names none."""
+        previous_per_s = self.limits.per_s(name)
         self.limits.answered(name, per_s, now)
-        if per_s != before_per_s:
-            emit(UpstreamLimited(name, per_s, before_per_s))
+        if per_s != previous_per_s:
+            emit(UpstreamLimited(name, per_s, previous_per_s))
 
     def back_off(self, name: str, for_s: float, now: float) -> None:
-        """An upstream wants no request from this gateway for ``for_s`` seconds."""
+        """Send an upstream nothing for ``for_s`` seconds, as it asked for."""
         self.load_of(name).back_off(now, for_s)
         emit(UpstreamBackoff(name, round(for_s * MS_PER_S, 1)))
 
     def leaving(self, name: str, now: float) -> None:
-        """An answer of an upstream says that it leaves."""
+        """Record that an upstream's answer announced that it leaves."""
         if self.load_of(name).leaves(now):
             emit(UpstreamLeaving(name))
 
     def count(self, now: float) -> int:
-        """How many upstreams are announced."""
+        """Count the announced upstreams."""
         records = self._directory.records(now)
-        return sum(one.kind != GATEWAY_ROLE and not is_mark(one) for one in records)
+        return sum(r.kind != GATEWAY_ROLE and not is_mark(r) for r in records)
 
     def suspected(self, now: float) -> int:
-        """How many upstreams are left alone after a failure."""
+        """Count the upstreams that are suspected to be dead."""
         return sum(load.suspect_until > now for load in self._loads.values())
 
     def sweep(self, now: float) -> set[str]:
-        """Forget incarnations that are gone; return the names of those that are
-        known."""
+        """Drop the state of removed upstreams; return the names of the others."""
         known = {record.name for record in self._directory.records(now)}
         for view in self._pools.values():
             known.update(record.name for record in view.records)
@@ -294,77 +302,79 @@
                 del self._at_address[address]
         return known
 
-    def _forget_earlier_incarnations(
+    def _replace_earlier_incarnations(
         self, records: Iterable[UpstreamRecord], now: float
     ) -> None:
-        """What was learned of an earlier incarnation says nothing about the one
-        after."""
+        """Replace the state of upstreams that were started again, as the state of the
+        earlier incarnation does not apply to the new one."""
         for record in records:
             incarnation = self._incarnations.get(record.name)
             if incarnation == record.incarnation:
                 continue
             if incarnation is not None:
-                self._end_incarnation(record.name, now, "it has started again")
+                self._end_incarnation(record.name, now, "it was started again")
                 self._loads.pop(record.name, None)
                 self.limits.forget(record.name)
             self._incarnations[record.name] = record.incarnation
             self.load_of(record.name).incarnation = record.incarnation
-            self._end_incarnation_at(record, now)
+            self._end_previous_at_address(record, now)
 
-    def _end_incarnation_at(self, newcomer: UpstreamRecord, now: float) -> None:
-        """Whoever had the address of an upstream that is new there has ended."""
-        before = self._at_address.get(newcomer.address, newcomer.name)
+    def _end_previous_at_address(self, newcomer: UpstreamRecord, now: float) -> None:
+        """Record the end of the upstream that had ``newcomer``'s address before."""
+        previous = self._at_address.get(newcomer.address, newcomer.name)
         self._at_address[newcomer.address] = newcomer.name
-        if before != newcomer.name:
-            self._end_incarnation(before, now, "another upstream has its address")
+        if previous != newcomer.name:
+            self._end_incarnation(previous, now, "another upstream has its address")
 
     def _end_incarnation(self, name: str, now: float, reason: str) -> None:
         load = self._loads.get(name)
         if load is not None:
             self.ended(name, load, now, reason)
 
-    def _sought_records(self, sought: Sought, now: float) -> list[UpstreamRecord]:
+    def _eligible_records(
+        self, query: UpstreamQuery, now: float
+    ) -> list[UpstreamRecord]:
         return [
             record
-            for record in self.records(sought.pool.name, now)
-            if record.name not in sought.tried
-            and _serves(record, sought.prompt)
+            for record in self.records(query.pool.name, now)
+            if record.name not in query.tried
+            and _serves(record, query.prompt)
             and not self.load_of(record.name).is_leaving
         ]
 
-    def _turn_s(self, record: UpstreamRecord, now: float) -> float:
-        """Seconds until an upstream takes a request of this gateway."""
+    def _permit_wait_s(self, record: UpstreamRecord, now: float) -> float:
+        """Seconds until an upstream takes a request from here; 0 or less if now."""
         backoff_s = self.load_of(record.name).backoff_until - now
         return max(backoff_s, self.limits.wait_s(record.name, now))
 
-    def _may_stay(self, record: UpstreamRecord, now: float) -> bool:
+    def _may_retain(self, record: UpstreamRecord, now: float) -> bool:
         newest = self._directory.get(record.name, now)
         return newest is None or (newest.ready and not newest.leaving)
 
-    def _home_ranks(self, sought: Sought) -> dict[str, int]:
-        prompt = sought.prompt
+    def _preference_ranks(self, query: UpstreamQuery) -> dict[str, int]:
+        prompt = query.prompt
         if prompt is None or not prompt.shared:
             return {}
-        key = f"{sought.scope}|{prompt.shared[-1].key}".encode()
-        homes = self._pools[sought.pool.name].members.homes(key)
+        key = f"{query.scope}|{prompt.shared[-1].key}".encode()
+        homes = self._pools[query.pool.name].members.homes(key)
         return {name: rank for rank, name in enumerate(homes)}
 
     def _candidate(
         self,
         record: UpstreamRecord,
-        sought: Sought,
+        query: UpstreamQuery,
         ranks: Mapping[str, int],
         stored: Collection[str] | None,
-        unseen: Load | None,
+        unreported: Load | None,
         now: float,
     ) -> Candidate:
         load = self.load_of(record.name)
-        size = sought.pool.engine
+        size = query.pool.engine
         peers = self._peers.at(record.name) if self._peers else None
-        resting = max(load.suspect_until, load.avoid_until) > now
+        avoided = max(load.suspect_until, load.avoid_until) > now
         return Candidate(
             name=record.name,
-            load=load.load(now, peers, unseen),
+            load=load.load(now, peers, unreported),
             weights=record.weights_version,
             slots=record.slots or (size.slots if size else 0),
             kv_tokens=size.kv_tokens if size else 0,
@@ -374,28 +384,29 @@
             store_heard=stored is not None,
             far=record.zone != self._zone,
             error_share=load.error_share,
-            usable=not resting and not self.is_changing(record, now),
+            usable=not avoided and not self.is_changing(record, now),
         )
 
-    def _unseen(self, records: Sequence[UpstreamRecord]) -> Load | None:
-        """What gateways that are not heard have at each of these, spread evenly.
+    def _unreported_work(self, records: Sequence[UpstreamRecord]) -> Load | None:
+        """Estimate the work of gateways without reports, at each of ``records``.
 
-        Each engine's load times their number would be wrong by whole prompts: with one
-        prompt of a zone of six an idle engine would seem full.
+        Their number times the mean reported work is spread evenly.  Scaling each
+        engine's own load instead would be wrong by whole prompts: in a zone of six
+        gateways a single prompt would make an idle engine seem full.
         """
-        unheard = self._peers.unheard
-        if not unheard or not records:
+        gateways = self._peers.unheard
+        if not gateways or not records:
             return None
-        known = [self._peers.at(record.name) for record in records]
-        part = unheard / len(records)
+        reported = [self._peers.at(record.name) for record in records]
+        per_record = gateways / len(records)
         return Load(
-            requests=part * sum(one.requests for one in known),
-            prefill_tokens=part * sum(one.prefill_tokens for one in known),
-            kv_tokens=part * sum(one.kv_tokens for one in known),
+            requests=per_record * sum(work.requests for work in reported),
+            prefill_tokens=per_record * sum(work.prefill_tokens for work in reported),
+            kv_tokens=per_record * sum(work.kv_tokens for work in reported),
         )
 
     def is_changing(self, record: UpstreamRecord, now: float) -> bool:
-        """Whether an upstream carries out an order and shall become free for it."""
+        """Whether an upstream carries out an order and has to become idle for it."""
         mark = self._directory.get(mark_name(record.name), now)
         return mark is not None and mark.ready
 
@@ -406,18 +417,18 @@
         return self._weights.old_for_s(record.model, version, now)
 
     def _stored(
-        self, records: Iterable[UpstreamRecord], sought: Sought
+        self, records: Iterable[UpstreamRecord], query: UpstreamQuery
     ) -> frozenset[str] | None:
-        """The weights versions under which a store holds the whole prefix.
+        """Return the weights versions under which a store holds the complete prefix.
 
         None if no store answers.
         """
-        shared = () if sought.prompt is None else sought.prompt.shared
+        shared = () if query.prompt is None else query.prompt.shared
         store = self.stores.of(shared)
         if store is None:
             return None
         salts = {
-            record.weights_version: cache_salt(record, sought.scope)
+            record.weights_version: cache_salt(record, query.scope)
             for record in records
             if record.model
         }
@@ -425,23 +436,26 @@
 
 
 def incarnation_name(name: str, incarnation: str) -> str:
-    """Names one incarnation of an upstream, the same in every process."""
+    """Return the name of one incarnation of an upstream, the same in every process."""
     return f"{name}@{incarnation}" if incarnation else name
 
 
 def weights_version(record: UpstreamRecord) -> int:
-    """The weights version that an upstream serves; 0 if it told none."""
+    """Return the weights version that an upstream serves; 0 if it announced none."""
     return int(record.weights_version or 0)
 
 
 def cache_salt(record: UpstreamRecord, scope: str) -> str:
-    """Keeps apart what other weights or an isolated workspace computed."""
+    """Return a salt that separates cache of other weights and isolated workspaces."""
     parts = [record.model, record.weights_version, *([scope] if scope else [])]
     return ".".join(parts)
 
 
 def demand_of(prompt: Prompt | None) -> Demand:
-    """What a prompt needs; the outermost shared part is taken to lie everywhere."""
+    """Return what a prompt needs.
+
+    Its outermost shared part is assumed to be cached at every upstream.
+    """
     if prompt is None:
         return Demand()
     shared = prompt.shared
--- a/tests/builders_gateway.py
+++ b/tests/builders_gateway.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the gateway: declarations, prompts, raw upstreams, callers."""
+"""Builders for gateway tests: declarations, prompts, raw upstreams and callers."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from gooseberrydale.errors import Problem
 from gooseberrydale.process.cfg import Cfg, FleetCfg, GatewayCfg, MetricsCfg, NodeCfg
 from gooseberrydale.process.gateway.gateway import Dialect, Gateway
-from gooseberrydale.process.gateway.store_follower import Followed
+from gooseberrydale.process.gateway.store_follower import FollowReply
 from gooseberrydale.request.gateway_call import (
     AnswerHead,
     CallerCall,
@@ -44,7 +44,7 @@
 
 
 def route(**fields: Any) -> Route:
-    """A route of plain calls that may not be repeated."""
+    """Return a route of plain requests that must not be repeated."""
     defaults: dict[str, Any] = {
         "name": "calls",
         "host": HOST,
@@ -57,7 +57,7 @@
 
 
 def declared(*routes: Route, **fields: Any) -> Declared:
-    """A document with one pool and one workspace."""
+    """Return a document with one pool and one workspace."""
     defaults: dict[str, Any] = {
         "number": 1,
         "routes": routes or (route(),),
@@ -69,7 +69,7 @@
 
 
 def record(name: str = "u1", **fields: Any) -> UpstreamRecord:
-    """An upstream that announces itself."""
+    """Return the record of an announced upstream."""
     defaults: dict[str, Any] = {
         "name": name,
         "incarnation": "",
@@ -86,28 +86,28 @@
 
 
 def prompt(*parts: tuple[str, int], own: int = 100, new: int = 10) -> Prompt:
-    """A prompt of shared parts and one of its own."""
-    found = (*(PromptPart(*part) for part in parts), PromptPart("own", own))
-    return Prompt("m", sum(part.tokens for part in found), new, found)
+    """Return a prompt with shared parts, followed by a part of its own."""
+    all_parts = (*(PromptPart(*part) for part in parts), PromptPart("own", own))
+    return Prompt("m", sum(part.tokens for part in all_parts), new, all_parts)
 
 
 class PlainWire:
-    """Headers of no deployment: names that say what they hold."""
+    """A minimal set of headers, named after the values that they hold."""
 
     def read_call(
         self, method: str, target: bytes, headers: RawHeaders
     ) -> Result[CallerCall, Problem]:
-        found = dict(headers)
-        wait = found.get(b"wait")
-        last = found.get(b"last-event-id")
+        values = dict(headers)
+        wait = values.get(b"wait")
+        last = values.get(b"last-event-id")
         return Ok(
             CallerCall(
-                request_id=found[b"id"].decode(),
+                request_id=values[b"id"].decode(),
                 method=method,
                 target=target.decode(),
-                host=found[b"host"].decode().partition(":")[0],
-                headers=((b"host", found[b"host"]), (b"id", found[b"id"])),
-                key=found[b"key"].decode() if b"key" in found else None,
+                host=values[b"host"].decode().partition(":")[0],
+                headers=((b"host", values[b"host"]), (b"id", values[b"id"])),
+                key=values[b"key"].decode() if b"key" in values else None,
                 wait_s=float(wait) if wait is not None else None,
                 last_event_id=last.decode() if last is not None else None,
             )
@@ -120,34 +120,34 @@
         return (*call.headers, *own)
 
     def read_answer(self, status: int, headers: RawHeaders) -> AnswerHead:
-        found = dict(headers)
+        values = dict(headers)
         return AnswerHead(
             status=status,
             headers=headers,
-            request_id=found[b"id"].decode() if b"id" in found else None,
-            signed=b"signed" in found,
-            not_run=b"not-run" in found,
-            encoded=b"content-encoding" in found,
-            limit_per_s=float(found[b"limit"]) if b"limit" in found else None,
+            request_id=values[b"id"].decode() if b"id" in values else None,
+            signed=b"signed" in values,
+            not_run=b"not-run" in values,
+            encoded=b"content-encoding" in values,
+            limit_per_s=float(values[b"limit"]) if b"limit" in values else None,
             retry_after_s=(
-                float(found[b"retry-after"]) if b"retry-after" in found else None
+                float(values[b"retry-after"]) if b"retry-after" in values else None
             ),
-            leaving=b"leaving" in found,
+            leaving=b"leaving" in values,
         )
 
 
 class NoStore:
     """A store that never answers."""
 
-    async def follow(self, address: str, since: int) -> Followed | None:
+    async def follow(self, address: str, since: int) -> FollowReply | None:
         return None
 
-    async def read_all(self, address: str) -> Followed | None:
+    async def read_all(self, address: str) -> FollowReply | None:
         return None
 
 
 def no_limits() -> UpstreamLimits:
-    """What a gateway without others knows of limits at its start."""
+    """Return the empty limits of a gateway that is alone in its fleet."""
     fleet = Fleet(GatewayPeer("g1", "127.0.0.1:1", "local"))
     return UpstreamLimits(lambda: fleet)
 
@@ -158,7 +158,10 @@
 
 @dataclass
 class RawUpstream:
-    """An HTTP server of bytes: ``script`` writes whatever follows a request."""
+    """An HTTP server whose ``script`` writes the bytes that follow each request.
+
+    ``disconnected`` is set once one of its connections has ended.
+    """
 
     name: str
     script: Script
@@ -166,7 +169,7 @@
     bodies: list[bytes] = field(default_factory=list)
     connections: int = 0
     port: int = 0
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
     server: asyncio.Server | None = None
     open: set[Writer] = field(default_factory=set)
 
@@ -179,7 +182,7 @@
             self.server.close()
 
     def end(self) -> None:
-        """End as a process does: nobody listens, and all connections close."""
+        """End as a killed process does: stop listening and abort all connections."""
         if self.server is not None:
             self.server.close()
         for writer in self.open:
@@ -196,19 +199,19 @@
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
                 first, *lines = head.decode().strip().split("\r\n")
-                found = {"line": first}
+                request = {"line": first}
                 for line in lines:
                     name, _, value = line.partition(":")
-                    found[name.lower()] = value.strip()
-                size = int(found.get("content-length", "0"))
+                    request[name.lower()] = value.strip()
+                size = int(request.get("content-length", "0"))
                 body = await reader.readexactly(size)
-                self.requests.append(found)
+                self.requests.append(request)
                 self.bodies.append(body)
-                await self.script(found, body, writer)
+                await self.script(request, body, writer)
         except (OSError, EOFError):
             pass
         finally:
-            self.gone.set()
+            self.disconnected.set()
             self.open.discard(writer)
             writer.close()
 
@@ -216,14 +219,14 @@
 def answer_bytes(
     request_id: str, body: bytes, status: str = "200 OK", *, headers: str = "signed: 1"
 ) -> bytes:
-    """One whole answer of an upstream."""
+    """Return one complete answer of an upstream."""
     lines = [f"HTTP/1.1 {status}", f"id: {request_id}", f"content-length: {len(body)}"]
     lines += [headers] if headers else []
     return "\r\n".join((*lines, "keep-alive: timeout=5", "", "")).encode() + body
 
 
 def stream_head(request_id: str) -> bytes:
-    """The head of an event stream in chunks."""
+    """Return the head of a chunked event stream."""
     return (
         f"HTTP/1.1 200 OK\r\nid: {request_id}\r\nsigned: 1\r\n"
         "content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -231,17 +234,17 @@
 
 
 def chunk(data: bytes) -> bytes:
-    """One chunk."""
+    """Return ``data`` as one HTTP chunk."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
 def event(number: int) -> bytes:
-    """One event with its id."""
+    """Return one event with ``number`` as its id."""
     return f"id: {number}\ndata: word{number}\n\n".encode()
 
 
 def reset(writer: Writer) -> None:
-    """Break a connection so that its other end sees a reset."""
+    """Close a connection so that its peer receives a reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(
         socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00"
@@ -250,7 +253,7 @@
 
 
 def free_port() -> int:
-    """A port that was free a moment ago."""
+    """Return a port that was free when it was checked."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port: int = sock.getsockname()[1]
@@ -266,7 +269,7 @@
     controls: tuple[str, ...] = (),
     **settings: Any,
 ) -> AsyncIterator[Gateway]:
-    """A gateway before raw upstreams, without control unless there are addresses."""
+    """Run a gateway with raw upstreams; it uses control only if ``controls`` is set."""
     cfg = Cfg(
         node=NodeCfg(name),
         fleet=FleetCfg(trust_network=True, controls=controls),
@@ -286,8 +289,8 @@
     await gateway.start()
     loop = asyncio.get_running_loop()
     for upstream in upstreams:
-        found = record(upstream.name, address=upstream.address)
-        gateway.directory.offer(found, loop.time())
+        announced = record(upstream.name, address=upstream.address)
+        gateway.directory.offer(announced, loop.time())
     if document is not None:
         gateway.store.offer(Config(revision=1, document=Document(1, b"{}")))
         await asyncio.sleep(0.01)
@@ -301,7 +304,7 @@
 
 @dataclass(frozen=True)
 class Got:
-    """What a caller got: ``whole`` is False if the answer broke off."""
+    """The answer that a caller received; ``whole`` is False if it was cut off."""
 
     status: int
     headers: dict[str, str]
@@ -319,7 +322,7 @@
     request_id: str = "r1",
     extra: str = "",
 ) -> Got:
-    """One request on a connection of its own."""
+    """Send one request on a connection of its own; return the answer."""
     host, _, port = gateway.addresses["http"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     lines = [f"{method} {target} HTTP/1.1", f"Host: {HOST}", f"Id: {request_id}"]
@@ -334,7 +337,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> Got:
-    """Read an answer to its end, be it whole or not."""
+    """Read an answer until it is complete or its connection ends."""
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode().strip().split("\r\n")
     headers = {}
@@ -351,7 +354,7 @@
 
 
 def unchunked(data: bytes) -> bytes:
-    """The content of chunks, as far as they are whole."""
+    """Return the content of the chunks in ``data``; the last one may be cut short."""
     parts = []
     while data:
         size, _, data = data.partition(b"\r\n")
@@ -362,5 +365,5 @@
 
 
 def plain(got: Got) -> Any:
-    """The body as JSON."""
+    """Return the body as decoded JSON."""
     return json.loads(got.body)
--- a/tests/builders_platform.py
+++ b/tests/builders_platform.py
@@ -1,7 +1,7 @@
-"""The modules of platform/ and messages as they are on its wire.
+"""Builders for tests of ``platform/``: messages as they are on its wire.
 
-The folder is no package, as it would stand in for the standard library's module; so it
-is put on the path, as its program does it.
+The folder is not a package, because it would shadow the standard library's module.  So
+it is added to the import path here, as ``platform/run.py`` does.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 def table(**fields: Any) -> dict[str, Any]:
-    """A configuration with one route, one service and a store."""
+    """Return a configuration with one route, one service and a store."""
     defaults: dict[str, Any] = {
         "version": 7,
         "routes": [route()],
@@ -39,7 +39,7 @@
 
 
 def route(**fields: Any) -> dict[str, Any]:
-    """A route of streams."""
+    """Return a route of streams."""
     defaults: dict[str, Any] = {
         "name": "r",
         "host": "H.example",
@@ -59,12 +59,12 @@
 
 
 def body(**fields: Any) -> bytes:
-    """A configuration as it is sent."""
+    """Return an encoded configuration."""
     return json.dumps(table(**fields)).encode()
 
 
 def beat(seq: Any, **fields: Any) -> dict[str, Any]:
-    """An announcement of an engine; a field given as None is left out."""
+    """Return an engine's heartbeat; fields that are None are left out."""
     defaults: dict[str, Any] = {
         "service": "s",
         "address": "10.0.0.9:1",
@@ -76,10 +76,10 @@
         "models": [{"name": "m", "version": 3, "adapters": []}],
         "seq": seq,
     }
-    found = {**defaults, **fields}
-    return {name: value for name, value in found.items() if value is not None}
+    merged = {**defaults, **fields}
+    return {name: value for name, value in merged.items() if value is not None}
 
 
 def beat_bytes(seq: Any = 1, **fields: Any) -> bytes:
-    """The same as it is sent."""
+    """Return an encoded heartbeat."""
     return json.dumps(beat(seq, **fields)).encode()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""A gateway before upstreams that misbehave, over real sockets."""
+"""A gateway whose upstreams misbehave, tested over real sockets."""
 
 from __future__ import annotations
 
@@ -46,32 +46,32 @@
     name="resumable",
 )
 SAFE = route(path_prefix="/safe/", repeatable=True, max_runs=2, name="safe")
-ALL = declared(route(), STREAM, RESUMABLE, SAFE)
+ALL_ROUTES = declared(route(), STREAM, RESUMABLE, SAFE)
 
 
-async def well(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """Answer as one should."""
+async def answer_correctly(req: dict[str, str], body: bytes, writer: Writer) -> None:
+    """Answer the request correctly."""
     writer.write(answer_bytes(req["id"], b"done " + body))
 
 
-async def reset_at_once(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """Break the connection without a word."""
+async def reset_connection(req: dict[str, str], body: bytes, writer: Writer) -> None:
+    """Reset the connection without an answer."""
     reset(writer)
 
 
 async def refuse(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """Say that the request was not run."""
+    """Refuse the request as not run."""
     head = "503 Service Unavailable"
     writer.write(answer_bytes(req["id"], b"", head, headers="not-run: 1"))
 
 
 async def fail(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """Run the request and fail."""
+    """Answer with a server error."""
     writer.write(answer_bytes(req["id"], b"broken", "500 Internal Server Error"))
 
 
 async def unsigned(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """An answer that is not the upstream's own."""
+    """Answer without the upstream's stamp."""
     writer.write(answer_bytes(req["id"], b"spoilt", headers=""))
 
 
@@ -82,8 +82,10 @@
     writer.close()
 
 
-async def endless_reset(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """A body without a length whose connection is reset."""
+async def reset_without_length(
+    req: dict[str, str], body: bytes, writer: Writer
+) -> None:
+    """Send a body without a length and reset the connection."""
     writer.write(
         f"HTTP/1.1 200 OK\r\nid: {req['id']}\r\nsigned: 1\r\n\r\npart".encode()
     )
@@ -92,33 +94,35 @@
     reset(writer)
 
 
-async def endless_closed(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """A body without a length that ends with its connection, as it may."""
+async def close_without_length(
+    req: dict[str, str], body: bytes, writer: Writer
+) -> None:
+    """Send a body without a length that ends with its connection, which is valid."""
     writer.write(f"HTTP/1.1 200 OK\r\nid: {req['id']}\r\nsigned: 1\r\n\r\nall".encode())
     await writer.drain()
     writer.close()
 
 
-BY_ITSELF: dict[str, tuple[str, Script, int, int]] = {
-    # target, what the upstream does, status for the caller, arrivals
-    "an answer": ("/calls/1", well, 200, 1),
-    "a body that ends with its connection": ("/calls/1", endless_closed, 200, 1),
-    "a reset may have run": ("/calls/1", reset_at_once, 502, 1),
+ONE_UPSTREAM: dict[str, tuple[str, Script, int, int]] = {
+    # target, script of the upstream, status for the caller, requests at the upstream
+    "an answer": ("/calls/1", answer_correctly, 200, 1),
+    "a body that ends with its connection": ("/calls/1", close_without_length, 200, 1),
+    "a reset may have run": ("/calls/1", reset_connection, 502, 1),
     "a refusal": ("/calls/1", refuse, 503, 1),
     "a failure is passed on": ("/calls/1", fail, 500, 1),
     "not its own": ("/calls/1", unsigned, 502, 1),
     "cut short": ("/calls/1", cut_short, 502, 1),
-    "no length, then reset": ("/calls/1", endless_reset, 502, 1),
+    "no length, then reset": ("/calls/1", reset_without_length, 502, 1),
 }
 
 
-@pytest.mark.parametrize("case", BY_ITSELF)
-def test_what_one_upstream_does_and_what_the_caller_gets(case: str) -> None:
-    target, script, status, arrivals = BY_ITSELF[case]
+@pytest.mark.parametrize("case", ONE_UPSTREAM)
+def test_answer_to_the_caller_for_each_behavior_of_one_upstream(case: str) -> None:
+    target, script, status, arrivals = ONE_UPSTREAM[case]
 
     async def main() -> None:
         upstream = RawUpstream("u1", script)
-        async with running_gateway(ALL, upstream) as gateway:
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             got = await call(gateway, target, body=b"hi")
         assert (got.status, len(upstream.requests)) == (status, arrivals)
         assert ("retry-after" in got.headers) == (status == 503)
@@ -126,26 +130,26 @@
     run(main())
 
 
-TWO: dict[str, tuple[str, Script, int, bool]] = {
-    # target, what the first upstream does, status, whether the second one gets it
-    "a call is not repeated after a reset": ("/calls/1", reset_at_once, 502, False),
+TWO_UPSTREAMS: dict[str, tuple[str, Script, int, bool]] = {
+    # target, script of the first upstream, status, whether the second one is used
+    "a call is not repeated after a reset": ("/calls/1", reset_connection, 502, False),
     "a call that was refused goes on": ("/calls/1", refuse, 200, True),
     "a call that failed has run": ("/calls/1", fail, 500, False),
-    "a safe call is repeated after a reset": ("/safe/1", reset_at_once, 200, True),
+    "a safe call is repeated after a reset": ("/safe/1", reset_connection, 200, True),
     "a safe call is repeated after a failure": ("/safe/1", fail, 200, True),
     "a safe call is repeated after half an answer": ("/safe/1", cut_short, 200, True),
-    "a stream is not repeated": ("/streams/1", reset_at_once, 502, False),
+    "a stream is not repeated": ("/streams/1", reset_connection, 502, False),
 }
 
 
-@pytest.mark.parametrize("case", TWO)
-def test_whether_a_second_upstream_gets_the_request(case: str) -> None:
-    target, script, status, second = TWO[case]
+@pytest.mark.parametrize("case", TWO_UPSTREAMS)
+def test_request_is_sent_to_a_second_upstream_only_if_allowed(case: str) -> None:
+    target, script, status, second = TWO_UPSTREAMS[case]
 
     async def main() -> None:
-        # The first choice is busy with nothing, the other one with a request.
-        first, other = RawUpstream("u1", script), RawUpstream("u2", well)
-        async with running_gateway(ALL, first, other) as gateway:
+        # The error share of the second upstream makes the first one the first choice.
+        first, other = RawUpstream("u1", script), RawUpstream("u2", answer_correctly)
+        async with running_gateway(ALL_ROUTES, first, other) as gateway:
             upstreams = gateway._upstreams
             upstreams.load_of("u2").error_share = 0.9
             got = await call(gateway, target)
@@ -164,19 +168,19 @@
 
 
 @pytest.mark.parametrize("case", REFUSALS)
-def test_what_the_declarations_refuse_reaches_no_upstream(case: str) -> None:
-    asked, status = REFUSALS[case]
+def test_request_refused_by_declarations_reaches_no_upstream(case: str) -> None:
+    fields, status = REFUSALS[case]
 
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
-        async with running_gateway(ALL, upstream) as gateway:
-            got = await call(gateway, **asked)
+        upstream = RawUpstream("u1", answer_correctly)
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
+            got = await call(gateway, **fields)
         assert (got.status, upstream.requests) == (status, [])
 
     run(main())
 
 
-def test_without_a_document_it_is_not_ready_and_answers_503() -> None:
+def test_gateway_without_document_is_not_ready_and_answers_503() -> None:
     async def main() -> None:
         async with running_gateway(None) as gateway:
             got = await call(gateway, extra="Wait: 0.2")
@@ -188,17 +192,17 @@
     run(main())
 
 
-def test_a_late_second_answer_is_never_taken_for_the_next_one() -> None:
+def test_late_second_answer_is_never_read_as_the_next_answer() -> None:
     async def twice(req: dict[str, str], body: bytes, writer: Writer) -> None:
         writer.write(answer_bytes(req["id"], b"answer to " + req["id"].encode()))
         await writer.drain()
-        # Comes at the place of the next answer, if the connection is used again.
+        # Would be read as the next answer if the connection were reused.
         await asyncio.sleep(0.03)
         writer.write(answer_bytes(req["id"], b"again " + req["id"].encode()))
 
     async def main() -> None:
         upstream = RawUpstream("u1", twice)
-        async with running_gateway(ALL, upstream) as gateway:
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             for number in range(6):
                 name = f"r{number}"
                 got = await call(gateway, "/safe/1", request_id=name)
@@ -208,10 +212,10 @@
     run(main())
 
 
-def test_connections_to_upstreams_are_used_again() -> None:
+def test_upstream_connections_are_reused() -> None:
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
-        async with running_gateway(ALL, upstream) as gateway:
+        upstream = RawUpstream("u1", answer_correctly)
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             for number in range(5):
                 got = await call(gateway, request_id=f"r{number}")
                 assert got.status == 200
@@ -220,8 +224,8 @@
     run(main())
 
 
-def broken_after(events: int, how: Callable[[Writer], Any]) -> Script:
-    """Stream from the event after the last one the caller has, then break once."""
+def breaking_stream(events: int, close: Callable[[Writer], Any]) -> Script:
+    """Stream from the event after the caller's last one, and break off once."""
     state = {"broken": False}
 
     async def script(req: dict[str, str], body: bytes, writer: Writer) -> None:
@@ -233,7 +237,7 @@
                 writer.write(chunk(event(number)[:6]))
                 await writer.drain()
                 await asyncio.sleep(0.02)
-                how(writer)
+                close(writer)
                 return
             writer.write(chunk(event(number)))
             await writer.drain()
@@ -247,33 +251,33 @@
 
 
 @pytest.mark.parametrize("events", [0, 1, 5])
-def test_a_stream_that_breaks_is_resumed_within_one_answer(events: int) -> None:
+def test_broken_stream_is_resumed_within_one_answer(events: int) -> None:
     async def main() -> None:
-        script = broken_after(events, reset)
+        script = breaking_stream(events, reset)
         upstreams = [RawUpstream(name, script) for name in ("u1", "u2")]
-        async with running_gateway(ALL, *upstreams) as gateway:
+        async with running_gateway(ALL_ROUTES, *upstreams) as gateway:
             got = await call(gateway, "/resumable/1")
         assert (got.status, got.whole, got.body) == (200, True, WHOLE)
-        sent = [req for one in upstreams for req in one.requests]
+        sent = [req for upstream in upstreams for req in upstream.requests]
         resumed = [r["last-event-id"] for r in sent if "last-event-id" in r]
         assert resumed == ([str(events)] if events else [])
 
     run(main())
 
 
-def test_a_stream_that_may_not_be_resumed_ends_open_and_runs_once() -> None:
+def test_broken_stream_that_is_not_resumable_is_cut_off_and_runs_once() -> None:
     async def main() -> None:
-        script = broken_after(3, reset)
+        script = breaking_stream(3, reset)
         upstreams = [RawUpstream(name, script) for name in ("u1", "u2")]
-        async with running_gateway(ALL, *upstreams) as gateway:
+        async with running_gateway(ALL_ROUTES, *upstreams) as gateway:
             got = await call(gateway, "/streams/1")
         assert (got.status, got.whole) == (200, False)
-        assert sum(len(one.requests) for one in upstreams) == 1
+        assert sum(len(upstream.requests) for upstream in upstreams) == 1
 
     run(main())
 
 
-def test_a_stream_moves_off_an_upstream_that_carries_an_order_out() -> None:
+def test_stream_moves_off_upstream_that_carries_out_an_order() -> None:
     async def slow(req: dict[str, str], body: bytes, writer: Writer) -> None:
         first = int(req.get("last-event-id", "0")) + 1
         writer.write(stream_head(req["id"]))
@@ -285,20 +289,20 @@
 
     async def main() -> None:
         first, other = RawUpstream("u1", slow), RawUpstream("u2", slow)
-        async with running_gateway(ALL, first, other, gateways=1) as gateway:
+        async with running_gateway(ALL_ROUTES, first, other, gateways=1) as gateway:
             gateway._upstreams.load_of("u2").error_share = 0.9
-            asked = asyncio.create_task(call(gateway, "/resumable/1"))
+            pending = asyncio.create_task(call(gateway, "/resumable/1"))
             await asyncio.sleep(0.08)
             loop = asyncio.get_running_loop()
             gateway.directory.offer(mark("u1", 1, 1), loop.time())
-            got = await asked
+            got = await pending
         assert (got.whole, got.body) == (True, WHOLE)
         assert (len(first.requests), len(other.requests)) == (1, 1)
 
     run(main())
 
 
-def test_a_caller_that_leaves_cancels_its_stream() -> None:
+def test_disconnected_caller_cancels_its_stream() -> None:
     async def endless(req: dict[str, str], body: bytes, writer: Writer) -> None:
         writer.write(stream_head(req["id"]))
         for number in range(1, 1_000):
@@ -308,7 +312,7 @@
 
     async def main() -> None:
         upstream = RawUpstream("u1", endless)
-        async with running_gateway(ALL, upstream) as gateway:
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             host, _, port = gateway.addresses["http"].rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             lines = f"GET /streams/1 HTTP/1.1\r\nHost: {HOST}\r\nId: r\r\nKey: {KEY}"
@@ -316,12 +320,12 @@
             await reader.readuntil(b"word3")
             writer.close()
             async with asyncio.timeout(0.5):
-                await upstream.gone.wait()
+                await upstream.disconnected.wait()
 
     run(main())
 
 
-def test_an_upstream_that_never_answers_gets_504_at_the_timeout() -> None:
+def test_caller_gets_504_at_the_timeout_if_the_upstream_never_answers() -> None:
     async def silent(req: dict[str, str], body: bytes, writer: Writer) -> None:
         await asyncio.sleep(3.0)
 
@@ -339,9 +343,9 @@
     run(main())
 
 
-def test_nobody_listens_there() -> None:
+def test_refused_connection_gets_503_as_not_run() -> None:
     async def main() -> None:
-        async with running_gateway(ALL) as gateway:
+        async with running_gateway(ALL_ROUTES) as gateway:
             now = asyncio.get_running_loop().time()
             gateway.directory.offer(record("u1", address="127.0.0.1:1"), now)
             got = await call(gateway)
@@ -350,10 +354,10 @@
     run(main())
 
 
-def test_an_upstream_that_leaves_gets_no_new_work_also_if_it_is_the_last() -> None:
+def test_leaving_upstream_gets_no_new_work_even_if_it_is_the_last() -> None:
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
-        async with running_gateway(ALL, upstream) as gateway:
+        upstream = RawUpstream("u1", answer_correctly)
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             assert (await call(gateway)).status == 200
             now = asyncio.get_running_loop().time()
             leaving = record(
@@ -366,19 +370,19 @@
     run(main())
 
 
-def test_upstreams_stay_known_while_nobody_announces_them() -> None:
+def test_last_upstreams_are_used_after_all_announcements_expire() -> None:
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
-        async with running_gateway(ALL, upstream) as gateway:
+        upstream = RawUpstream("u1", answer_correctly)
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             assert (await call(gateway)).status == 200
-            forget(gateway.directory, record("u1", address=upstream.address))
+            expire_lease(gateway.directory, record("u1", address=upstream.address))
             assert (await call(gateway, request_id="r2")).status == 200
 
     run(main())
 
 
-def forget(directory: Any, known: UpstreamRecord) -> None:
-    """Let the lease of a record end."""
+def expire_lease(directory: Any, known: UpstreamRecord) -> None:
+    """Let the lease of a record expire."""
     now = asyncio.get_running_loop().time()
     directory.expire(now + known.lease_s + 1)
     assert directory.ready(POOL, now) == ()
@@ -402,9 +406,9 @@
 
 
 @pytest.mark.parametrize("case", MALFORMED)
-def test_what_is_no_request_gets_400_and_the_process_incarnations(case: str) -> None:
+def test_malformed_request_gets_400_and_the_gateway_keeps_serving(case: str) -> None:
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
+        upstream = RawUpstream("u1", answer_correctly)
         document = declared(route(host="h", public=True), route())
         async with running_gateway(document, upstream) as gateway:
             host, _, port = gateway.addresses["http"].rpartition(":")
@@ -419,10 +423,10 @@
     run(main())
 
 
-def test_a_drain_tells_the_balancer_first_and_serves_meanwhile() -> None:
+def test_draining_gateway_reports_not_ready_and_still_serves() -> None:
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
-        async with running_gateway(ALL, upstream) as gateway:
+        upstream = RawUpstream("u1", answer_correctly)
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             assert await ready_status(gateway) == 200
             closing = asyncio.create_task(gateway.close())
             await asyncio.sleep(0.05)
@@ -434,12 +438,13 @@
     run(main())
 
 
-def test_what_can_not_end_before_the_process_does_is_sent_elsewhere() -> None:
+def test_draining_gateway_refuses_requests_that_may_outlast_it() -> None:
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
-        async with running_gateway(ALL, upstream) as gateway:
+        upstream = RawUpstream("u1", answer_correctly)
+        async with running_gateway(ALL_ROUTES, upstream) as gateway:
             closing = asyncio.create_task(gateway.close())
-            # Two thirds of a second listed, 1.85 s to the cut, and 2 s for a call.
+            # The balancer is given two thirds of a second and open answers 1.85 s,
+            # while a call may take 2 s.
             await asyncio.sleep(0.5)
             got = await call(gateway)
             short = await call(gateway, extra="Wait: 0.5")
@@ -452,7 +457,7 @@
 
 
 async def ready_status(gateway: Any) -> int:
-    """What the balancer is told."""
+    """Return the status that the balancer receives."""
     host, _, port = gateway.addresses["ready"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /any HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
@@ -461,20 +466,20 @@
     return got.status
 
 
-def test_connections_to_an_upstream_stay_within_the_gateways_part() -> None:
+def test_connections_to_an_upstream_stay_within_the_gateways_share() -> None:
     async def slowly(req: dict[str, str], body: bytes, writer: Writer) -> None:
         await asyncio.sleep(0.1)
-        await well(req, body, writer)
+        await answer_correctly(req, body, writer)
 
     async def main() -> None:
-        # Ten declared, nine used, three for each of three gateways.
+        # Ten connections are declared and nine used, three by each of three gateways.
         document = declared(pools={POOL: Pool(POOL, 10)})
         first, other = RawUpstream("u1", slowly), RawUpstream("u2", slowly)
         async with running_gateway(document, first, other, gateways=3) as gateway:
             for _ in range(2):
                 calls = [call(gateway, request_id=f"r{n}") for n in range(8)]
-                got = sorted(one.status for one in await asyncio.gather(*calls))
-                # Six find a connection; the others are told that they did not run.
+                got = sorted(a.status for a in await asyncio.gather(*calls))
+                # Six requests get a connection; the others are refused as not run.
                 assert got == [200] * 6 + [503] * 2
             assert (first.connections, other.connections) == (3, 3)
             assert not gateway._upstreams.load_of("u1").suspect_until > 0
@@ -482,11 +487,11 @@
     run(main())
 
 
-def test_a_scrape_tells_what_became_of_requests() -> None:
+def test_scrape_counts_requests_by_outcome() -> None:
     async def main() -> None:
-        upstream = RawUpstream("u1", well)
+        upstream = RawUpstream("u1", answer_correctly)
         metrics = MetricsCfg(http="127.0.0.1:0")
-        async with running_gateway(ALL, upstream, metrics=metrics) as gateway:
+        async with running_gateway(ALL_ROUTES, upstream, metrics=metrics) as gateway:
             await call(gateway)
             await call(gateway, "/other/1", request_id="r2")
             assert gateway.metrics is not None
@@ -495,9 +500,11 @@
         lines = [line for line in text.splitlines() if line[:1] != "#"]
 
         def values(name: str, *labels: str) -> list[float]:
-            found = [line for line in lines if re.split("[{ ]", line)[0] == name]
-            found = [line for line in found if all(label in line for label in labels)]
-            return [float(line.rpartition(" ")[2]) for line in found]
+            samples = [line for line in lines if re.split("[{ ]", line)[0] == name]
+            samples = [
+                line for line in samples if all(label in line for label in labels)
+            ]
+            return [float(line.rpartition(" ")[2]) for line in samples]
 
         ok = 'profile="calls"', 'outcome="answered"'
         assert values("gooseberrydale_requests_total", *ok) == [1.0]
@@ -512,7 +519,7 @@
 
 
 @pytest.mark.parametrize("module", ["gateway.gateway", "control.control"])
-def test_without_a_listener_the_libraries_for_metrics_are_not_loaded(
+def test_metrics_libraries_are_not_loaded_without_a_listener(
     module: str,
 ) -> None:
     code = (
--- a/tests/test_gateway_views.py
+++ b/tests/test_gateway_views.py
@@ -1,4 +1,4 @@
-"""What a gateway knows: loads, peers, the store, weights, saves; and its choices."""
+"""The state on which a gateway bases its choices of upstreams, and the choices."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from gooseberrydale.process.cfg import GatewayCfg
 from gooseberrydale.process.gateway.retry_budgets import RetryBudgets
-from gooseberrydale.process.gateway.save_memory import PATIENCE_S, SaveMemory
-from gooseberrydale.process.gateway.upstreams import Sought, Upstreams, demand_of
+from gooseberrydale.process.gateway.save_memory import SAVE_TIMEOUT_S, RecentSaves
+from gooseberrydale.process.gateway.upstreams import UpstreamQuery, Upstreams, demand_of
 from gooseberrydale.request.gateway_call import Prompt, PromptPart, ReportedLoad
 from gooseberrydale.request.placement import (
     Candidate,
@@ -45,7 +45,7 @@
     return WorkReport(name, incarnation, seq, works)
 
 
-def test_peers_work_adds_up_and_the_newest_report_counts() -> None:
+def test_work_of_peers_is_summed_from_their_newest_reports() -> None:
     loads = PeerLoads()
     assert loads.take(report("g2", 1, UpstreamWork("u1", 2, 100, 200)), 0.0)
     assert loads.take(report("g3", 1, UpstreamWork("u1", 1, 10, 20)), 0.0)
@@ -57,32 +57,32 @@
     assert loads.at("u1").requests == 1
 
 
-def test_changes_alone_replace_what_was_told_of_those_upstreams() -> None:
+def test_partial_report_replaces_only_the_upstreams_it_names() -> None:
     loads = PeerLoads()
-    both = UpstreamWork("u1", 2, 100, 200), UpstreamWork("u2", 1, 10, 20)
-    loads.take(report("g2", 1, *both), 0.0)
+    both_works = UpstreamWork("u1", 2, 100, 200), UpstreamWork("u2", 1, 10, 20)
+    loads.take(report("g2", 1, *both_works), 0.0)
     ended = WorkReport("g2", "1", 2, (UpstreamWork("u2", 0, 0, 0),), whole=False)
     assert loads.take(ended, 0.1)
     assert (loads.at("u1").requests, loads.at("u2").requests) == (2, 0)
     grown = WorkReport("g2", "1", 3, (UpstreamWork("u1", 5, 300, 400),), whole=False)
     assert loads.take(grown, 0.2)
     assert (loads.at("u1").requests, loads.at("u1").kv_tokens) == (5, 400)
-    # A whole report makes up for changes that were lost.
+    # A whole report makes up for lost messages with changes.
     loads.take(report("g2", 9, UpstreamWork("u3", 1, 0, 0)), 0.3)
     assert [loads.at(name).requests for name in ("u1", "u2", "u3")] == [0, 0, 1]
-    # Changes of another incarnation say that nothing of the earlier one goes on.
-    loads.take(WorkReport("g2", "2", 1, (both[1],), whole=False), 0.4)
+    # Changes of another incarnation imply that all work of the earlier one has ended.
+    loads.take(WorkReport("g2", "2", 1, (both_works[1],), whole=False), 0.4)
     assert [loads.at(name).requests for name in ("u1", "u2", "u3")] == [0, 1, 0]
 
 
-def test_what_is_told_of_changes() -> None:
-    told = {"u1": UpstreamWork("u1", 1, 2, 3), "u2": UpstreamWork("u2", 1, 2, 3)}
-    works = {"u2": told["u2"], "u3": UpstreamWork("u3", 4, 5, 6)}
-    assert changes(told, works) == (UpstreamWork("u1", 0, 0, 0), works["u3"])
+def test_changes_between_two_reports() -> None:
+    previous = {"u1": UpstreamWork("u1", 1, 2, 3), "u2": UpstreamWork("u2", 1, 2, 3)}
+    works = {"u2": previous["u2"], "u3": UpstreamWork("u3", 4, 5, 6)}
+    assert changes(previous, works) == (UpstreamWork("u1", 0, 0, 0), works["u3"])
     assert changes(works, works) == ()
 
 
-def test_a_silent_gateway_is_forgotten() -> None:
+def test_work_of_a_silent_gateway_expires() -> None:
     loads = PeerLoads()
     loads.take(report("g2", 1, UpstreamWork("u1", 2, 0, 0)), 0.0)
     loads.expire(FORGET_S - 0.1)
@@ -91,7 +91,7 @@
     assert (loads.at("u1").requests, len(loads)) == (0, 0)
 
 
-def test_own_work_is_exact_and_reports_of_others_fade() -> None:
+def test_own_work_is_exact_and_reported_work_of_others_decays() -> None:
     load = UpstreamLoad()
     work = Work(1_000, 1_500)
     load.began(work)
@@ -104,7 +104,7 @@
     assert load.own == (0, 0, 0)
 
 
-def test_a_dead_upstream_is_left_alone_for_longer_each_time() -> None:
+def test_pause_after_each_failure_doubles_up_to_a_maximum() -> None:
     load = UpstreamLoad()
     pauses = []
     for _ in range(6):
@@ -115,10 +115,10 @@
     assert load.suspect_until < 0
 
 
-def test_the_store_holds_whole_parts_in_order_of_one_incarnation() -> None:
+def test_store_view_counts_complete_parts_in_order_of_one_incarnation() -> None:
     view = StoreView("store")
     parts = (GUIDE, LOT)
-    assert not view.lacks("s", parts)  # it is not known to be there
+    assert not view.lacks("s", parts)  # it has not answered yet
     events = (StoreEvent("s", "guide", 2_000), StoreEvent("s", "lot", 3_999))
     view.take(StoreNews("1", events))
     assert view.held_tokens("s", parts) == 2_000
@@ -134,7 +134,7 @@
     assert view.held_tokens("s", (LOT,)) == 0
 
 
-def test_a_whole_list_replaces_what_was_known() -> None:
+def test_complete_list_replaces_the_view() -> None:
     view = StoreView("store")
     view.take(StoreNews("1", (StoreEvent("s", "guide", 2_000),)))
     view.take(StoreNews("1", (StoreEvent("s", "lot", 4_000),), whole=True))
@@ -142,20 +142,20 @@
     assert held == [0, 4_000]
 
 
-def test_since_when_weights_are_overtaken() -> None:
+def test_how_long_weights_have_been_outdated() -> None:
     weights = NamedWeights()
     weights.note({"m": 1}, 0.0)
     weights.note({"m": 3}, 10.0)
     weights.note({"m": 3}, 12.0)
     weights.note({"m": 4}, 20.0)
-    found = [weights.old_for_s("m", version, 25.0) for version in range(5)]
-    assert found == [25.0, 15.0, 15.0, 5.0, 0.0]
+    ages_s = [weights.old_for_s("m", version, 25.0) for version in range(5)]
+    assert ages_s == [25.0, 15.0, 15.0, 5.0, 0.0]
     assert weights.old_for_s("other", 1, 25.0) == 0.0
 
 
-def test_a_save_is_asked_for_once_until_it_may_have_failed() -> None:
-    saves = SaveMemory()
-    times = [0.0, 0.1, PATIENCE_S - 0.01, PATIENCE_S, PATIENCE_S + 0.1]
+def test_save_is_requested_again_only_after_its_timeout() -> None:
+    saves = RecentSaves()
+    times = [0.0, 0.1, SAVE_TIMEOUT_S - 0.01, SAVE_TIMEOUT_S, SAVE_TIMEOUT_S + 0.1]
     assert [saves.due("s", "k", now) for now in times] == [
         True,
         False,
@@ -166,19 +166,19 @@
     assert saves.due("other", "k", 0.1)
 
 
-def test_retry_slack_is_shared_by_the_gateways_that_are_known() -> None:
-    known = [0]
+def test_retry_slack_is_shared_by_the_counted_gateways() -> None:
+    counted = [0]
     cfg = GatewayCfg(retry_ratio=0.0, retry_slack=80.0, gateways=8)
-    budgets = RetryBudgets(cfg, lambda: max(cfg.gateways, known[0]))
+    budgets = RetryBudgets(cfg, lambda: max(cfg.gateways, counted[0]))
 
     def burst() -> int:
-        budget = budgets.of("fresh" + str(known[0]))
+        budget = budgets.of("fresh" + str(counted[0]))
         return sum(budget.spend(0.0) for _ in range(100))
 
     few = burst()
-    known[0] = 40
+    counted[0] = 40
     many = burst()
-    # All gateways together stay within the number, also if each spends its burst.
+    # All gateways together stay within the slack, even if each spends its burst.
     assert few * 8 <= 80 and many * 40 <= 80 and few > many >= 1
 
 
@@ -189,20 +189,23 @@
 
 LONG = Demand(own_tokens=3_000, shared_tokens=4_000, common_tokens=2_000)
 CHOICES: dict[str, tuple[list[Candidate], str]] = {
-    "the home of the prefix": (
-        [candidate("away", home_rank=1), candidate("home")],
-        "home",
+    "the preferred upstream of the prefix": (
+        [candidate("other", home_rank=1), candidate("preferred")],
+        "preferred",
     ),
-    "away if the home is busier than computing again takes": (
-        [candidate("away", home_rank=1), candidate("home", load=Load(2, 12_000, 0))],
-        "away",
+    "another if the preferred one is busier than recomputing takes": (
+        [
+            candidate("other", home_rank=1),
+            candidate("preferred", load=Load(2, 12_000, 0)),
+        ],
+        "other",
     ),
-    "away earlier if a store holds the prefix": (
+    "another sooner if a store holds the prefix": (
         [
-            candidate("away", home_rank=1, stored=True),
-            candidate("home", load=Load(1, 3_000, 0)),
+            candidate("other", home_rank=1, stored=True),
+            candidate("preferred", load=Load(1, 3_000, 0)),
         ],
-        "away",
+        "other",
     ),
     "not where memory is short": (
         [candidate("full", load=Load(9, 0, 90_000)), candidate("free", home_rank=3)],
@@ -228,26 +231,24 @@
 
 
 @pytest.mark.parametrize("case", CHOICES)
-def test_choice_for_a_long_prompt(case: str) -> None:
-    candidates, wanted = CHOICES[case]
+def test_choice_for_long_prompt(case: str) -> None:
+    candidates, expected = CHOICES[case]
     chosen = choose(candidates, LONG, random.Random(1))
-    assert chosen is not None and chosen.name == wanted
+    assert chosen is not None and chosen.name == expected
 
 
-def test_runs_that_go_on_for_long_avoid_engines_that_will_change_their_weights() -> (
-    None
-):
-    """A short run ends there in time; a long one would be moved."""
+def test_long_runs_avoid_engines_that_are_about_to_change_weights() -> None:
+    """A short run ends before the change of weights; a long one would be moved."""
     old = candidate("old", old_for_s=0.5)
     new = candidate("new", load=Load(20, 6_000, 40_000))
-    for run_s, wanted in ((0.2, "old"), (1.6, "new")):
+    for run_s, expected in ((0.2, "old"), (1.6, "new")):
         demand = Demand(own_tokens=800, new_tokens=900, run_s=run_s)
         chosen = choose([old, new], demand, random.Random(1))
-        assert chosen is not None and chosen.name == wanted
+        assert chosen is not None and chosen.name == expected
 
 
-def test_homes_are_counted_among_those_that_can_be_one_now() -> None:
-    found = homes_in_reach(
+def test_preferred_upstreams_are_ranked_among_usable_ones_of_equal_weights() -> None:
+    ranked = homes_in_reach(
         [
             candidate("changing", home_rank=0, weights="1", usable=False),
             candidate("old", home_rank=1, weights="1"),
@@ -255,11 +256,11 @@
             candidate("older", home_rank=2, weights="1"),
         ]
     )
-    ranks = {one.name: one.home_rank for one in found}
+    ranks = {c.name: c.home_rank for c in ranked}
     assert ranks == {"old": 0, "older": 1, "changing": 2, "new": 0}
 
 
-def test_plain_calls_go_where_a_place_is_free() -> None:
+def test_plain_request_goes_to_upstream_with_a_free_slot() -> None:
     busy = candidate("busy", slots=6, load=Load(6, 0, 0))
     free = candidate("free", slots=6, load=Load(5, 0, 0), far=True)
     chosen = choose([busy, free], Demand(), random.Random(1))
@@ -281,52 +282,54 @@
     )
 
 
-def names(found: Upstreams, asked: Prompt | None, now: float) -> dict[str, Candidate]:
+def candidates_by_name(
+    view: Upstreams, asked: Prompt | None, now: float
+) -> dict[str, Candidate]:
     pool = Pool(POOL, 10, EngineSize(48, 100_000))
-    sought = Sought(pool, asked, "")
-    return {one.name: one for _, one in found.candidates(sought, now)}
+    query = UpstreamQuery(pool, asked, "")
+    return {c.name: c for _, c in view.candidates(query, now)}
 
 
-def test_engines_on_weights_overtaken_for_too_long_get_nothing() -> None:
+def test_engines_with_weights_outdated_for_too_long_get_nothing() -> None:
     directory, weights = Directory(), NamedWeights()
     for name, version in [("old", "1"), ("new", "2")]:
         directory.offer(record(name, model="m", weights_version=version), 0.0)
-    found = upstreams(directory, weights)
+    view = upstreams(directory, weights)
     weights.note({"m": 1}, 0.0)
     weights.note({"m": 2}, 1.0)
     asked = prompt(("guide", 100))
-    # Half a second before work could still begin too late, after 2.4 s inside.
-    assert names(found, asked, 6.4).keys() == {"old", "new"}
-    assert names(found, asked, 6.6).keys() == {"new"}
+    # 6.6 s is half a second earlier than work may start too late after 2.4 s inside.
+    assert candidates_by_name(view, asked, 6.4).keys() == {"old", "new"}
+    assert candidates_by_name(view, asked, 6.6).keys() == {"new"}
 
 
-def test_every_process_finds_the_same_home_of_a_prefix() -> None:
+def test_every_process_finds_the_same_preferred_upstream_of_a_prefix() -> None:
     directory = Directory()
     for number in range(9):
         directory.offer(record(f"u{number}", model="m"), 0.0)
     asked = prompt(("guide", 2_000), ("lot", 4_000))
-    homes = set()
+    preferred = set()
     for _ in range(3):
-        found = names(upstreams(directory), asked, 1.0)
-        homes.add(next(name for name, one in found.items() if one.home_rank == 0))
-    assert len(homes) == 1
+        by_name = candidates_by_name(upstreams(directory), asked, 1.0)
+        preferred.add(next(name for name, c in by_name.items() if c.home_rank == 0))
+    assert len(preferred) == 1
 
 
-def test_a_marked_upstream_is_not_usable_until_the_mark_ends() -> None:
+def test_marked_upstream_is_not_usable_until_the_mark_ends() -> None:
     directory = Directory()
     directory.offer(record("u1", model="m"), 0.0)
-    found = upstreams(directory)
+    view = upstreams(directory)
     asked = prompt(("guide", 100))
     directory.offer(mark("u1", term=3, seq=1), 0.0)
-    assert not names(found, asked, 0.1)["u1"].usable
+    assert not candidates_by_name(view, asked, 0.1)["u1"].usable
     directory.offer(mark("u1", term=3, seq=2, over=True), 0.2)
-    assert names(found, asked, 0.3)["u1"].usable
-    # A mark of an earlier leader that comes late changes nothing.
+    assert candidates_by_name(view, asked, 0.3)["u1"].usable
+    # A late mark of an earlier leader is ignored.
     directory.offer(mark("u1", term=2, seq=9), 0.4)
-    assert names(found, asked, 0.5)["u1"].usable
+    assert candidates_by_name(view, asked, 0.5)["u1"].usable
 
 
-def test_a_prompt_is_split_into_what_lies_everywhere_at_home_and_its_own() -> None:
+def test_prompt_is_split_into_common_shared_and_own_tokens() -> None:
     asked = prompt(("guide", 2_000), ("lot", 4_000), own=300, new=20)
     demand = demand_of(asked)
     assert (demand.common_tokens, demand.shared_tokens) == (2_000, 4_000)
@@ -334,8 +337,8 @@
     assert demand_of(None).is_prompt is False
 
 
-def test_work_of_gateways_that_are_not_heard_is_spread_evenly() -> None:
-    """Taken times their number where it lies, one prompt would fill an idle engine."""
+def test_work_of_unreported_gateways_is_spread_evenly() -> None:
+    """Scaling each engine's load instead would fill an idle engine with one prompt."""
     directory, peers = Directory(), PeerLoads()
     for number in range(4):
         directory.offer(record(f"u{number}", model="m"), 0.0)
@@ -346,17 +349,18 @@
         no_limits(),
     )
     asked = prompt(("guide", 100), ("lot", 100))
-    assert names(view, asked, 0.0)["u0"].load == IDLE
+    assert candidates_by_name(view, asked, 0.0)["u0"].load == IDLE
     peers.note_unheard(6, 1)
-    found = names(view, asked, 0.0)
-    assert found["u0"].load == Load(3.0, 600.0, 12_000.0)
-    assert found["u1"].load == Load(5.0, 1_000.0, 20_000.0)
+    by_name = candidates_by_name(view, asked, 0.0)
+    assert by_name["u0"].load == Load(3.0, 600.0, 12_000.0)
+    assert by_name["u1"].load == Load(5.0, 1_000.0, 20_000.0)
 
 
-def test_an_upstream_is_asked_at_once_when_its_connections_break() -> None:
-    """However many break together, which makes the pause after them a long one.
+def test_upstream_is_probed_immediately_after_its_connections_break() -> None:
+    """This holds even if many connections break together, which makes the pause long.
 
-    Asked later, it may be back as another incarnation, and what ended it is not known.
+    A later probe may reach the next incarnation; then the end of this one, and the
+    requests that caused it, would go unnoticed.
     """
     directory = Directory()
     directory.offer(record("u1"), 0.0)
@@ -368,12 +372,12 @@
         load.unreachable(10.0)
         view.run_ended("u1", load, run, 10.0, RunEnd.BROKE)
     assert load.suspect_until > 10.0 + NOTICED_S
-    assert [one.name for one in view.doubtful(10.1)] == ["u1"]
-    assert view.doubtful(10.2) == []
+    assert [due.name for due in view.due_for_probe(10.1)] == ["u1"]
+    assert view.due_for_probe(10.2) == []
 
 
 @pytest.mark.parametrize("leaving", [False, True])
-def test_an_upstream_that_has_said_that_it_leaves_ends_by_itself(leaving: bool) -> None:
+def test_end_of_a_leaving_upstream_is_not_reported_with_its_runs(leaving: bool) -> None:
     directory = Directory()
     directory.offer(record("u1"), 0.0)
     view = upstreams(directory)
@@ -385,44 +389,44 @@
     assert len(view.ended_incarnations) == int(not leaving)
 
 
-def test_a_limit_holds_while_the_announcement_of_its_upstream_lapses() -> None:
+def test_limit_outlasts_a_lapsed_announcement() -> None:
     directory = Directory()
     view = upstreams(directory)
     directory.offer(record("u1", lease_s=2.0), 0.0)
     directory.offer(record("u2"), 0.0)
-    assert names(view, None, 0.0).keys() == {"u1", "u2"}
+    assert candidates_by_name(view, None, 0.0).keys() == {"u1", "u2"}
     view.limited("u1", 0.0, 0.5)
-    assert names(view, None, 4.0).keys() == {"u2"}
+    assert candidates_by_name(view, None, 4.0).keys() == {"u2"}
     view.sweep(5.0)
     directory.offer(record("u1", seq=2), 6.0)
-    assert names(view, None, 6.0).keys() == {"u2"}
+    assert candidates_by_name(view, None, 6.0).keys() == {"u2"}
 
 
-def test_a_limit_is_not_that_of_the_next_incarnation() -> None:
+def test_limit_does_not_apply_to_the_next_incarnation() -> None:
     directory = Directory()
     view = upstreams(directory)
     directory.offer(record("u1", incarnation="1"), 0.0)
-    assert names(view, None, 0.0).keys() == {"u1"}
+    assert candidates_by_name(view, None, 0.0).keys() == {"u1"}
     view.limited("u1", 0.0, 0.5)
-    assert names(view, None, 1.0).keys() == set()
+    assert candidates_by_name(view, None, 1.0).keys() == set()
     directory.offer(record("u1", incarnation="2"), 1.0)
-    assert names(view, None, 1.0).keys() == {"u1"}
+    assert candidates_by_name(view, None, 1.0).keys() == {"u1"}
 
 
 @pytest.mark.parametrize("asked", ["back off", "leaving"])
-def test_what_an_upstream_asked_for_holds_while_its_announcement_lapses(
+def test_backoff_and_leaving_outlast_a_lapsed_announcement(
     asked: str,
 ) -> None:
     directory = Directory()
     view = upstreams(directory)
     directory.offer(record("u1", lease_s=2.0), 0.0)
     directory.offer(record("u2"), 0.0)
-    assert names(view, None, 0.0).keys() == {"u1", "u2"}
+    assert candidates_by_name(view, None, 0.0).keys() == {"u1", "u2"}
     if asked == "back off":
         view.back_off("u1", 8.0, 0.5)
     else:
         view.leaving("u1", 0.5)
-    assert names(view, None, 4.0).keys() == {"u2"}
+    assert candidates_by_name(view, None, 4.0).keys() == {"u2"}
     view.sweep(5.0)
     directory.offer(record("u1", seq=2), 6.0)
-    assert names(view, None, 6.0).keys() == {"u2"}
+    assert candidates_by_name(view, None, 6.0).keys() == {"u2"}
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""What platform/ reads and writes: configurations, headers, heartbeats, reports."""
+"""The formats of ``platform/``: configurations, headers, heartbeats, reports."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 DEPLOY = pathlib.Path(__file__).resolve().parent.parent / "deploy"
 
 
-def test_a_configuration_is_decoded_into_what_its_fields_hold() -> None:
+def test_configuration_is_decoded() -> None:
     found = decode_document(wire.body()).unwrap()
     [route] = found.routes
     assert found.number == 7
@@ -61,7 +61,7 @@
 
 
 @pytest.mark.parametrize("case", QUOTAS)
-def test_a_tenants_allowance_is_its_quota(case: str) -> None:
+def test_tenant_rate_is_decoded_as_quota(case: str) -> None:
     fields, quota = QUOTAS[case]
     document = wire.body(tenants=[{"name": "t", "apiKeys": ["k"], **fields}])
     [holder] = decode_document(document).unwrap().workspaces or ()
@@ -72,13 +72,13 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_the_kind_says_what_may_be_repeated(kind: str) -> None:
+def test_route_kind_decides_what_may_be_repeated(kind: str) -> None:
     document = wire.body(routes=[wire.route(kind=kind)])
     [route] = decode_document(document).unwrap().routes
     assert (route.repeatable, route.streamed) == KINDS[kind]
 
 
-def test_without_tenants_nobody_needs_a_key() -> None:
+def test_no_key_is_needed_without_tenants() -> None:
     bare = {k: v for k, v in wire.table().items() if k != "tenants"}
     assert decode_document(json.dumps(bare).encode()).unwrap().workspaces is None
 
@@ -96,7 +96,7 @@
 
 
 @pytest.mark.parametrize("case", UNREADABLE)
-def test_what_can_not_be_read_in_full_is_refused(case: str) -> None:
+def test_undecodable_configuration_is_refused(case: str) -> None:
     found = decode_document(UNREADABLE[case])
     assert isinstance(found, Err)
     assert found.err_value.status == 400
@@ -117,7 +117,7 @@
     return PlatformWire().read_call("POST", b"/a/b?c=d", (*BASE, *headers))
 
 
-def test_a_consumers_head_is_read() -> None:
+def test_caller_head_is_read() -> None:
     call = read().unwrap()
     assert (call.request_id, call.host, call.key) == ("r1", "h.example", "k1")
     assert (call.target, call.path, call.wait_s) == ("/a/b?c=d", "/a/b", 1.5)
@@ -126,14 +126,14 @@
     assert [part.key for part in call.prompt.shared] == ["aa", "bb"]
 
 
-OWN_TO_SET = (
+ROUTER_HEADERS = (
     "x-expect-instance x-expect-version x-tenant x-request-priority x-cache-salt"
     " x-kv-fetch x-kv-save x-kv-backup kv-from x-hold x-pin-ms"
 ).split()
 
 
-def test_what_only_the_system_sets_is_never_passed_on() -> None:
-    forged = tuple((name.encode(), b"forged") for name in OWN_TO_SET)
+def test_headers_that_only_the_router_sets_are_never_forwarded() -> None:
+    forged = tuple((name.encode(), b"forged") for name in ROUTER_HEADERS)
     call = read(*forged).unwrap()
     sent = PlatformWire().request_headers(call, Terms(instance="i-1", left_s=1.2345))
     assert b"forged" not in [value for _, value in sent]
@@ -144,7 +144,7 @@
     assert found[b"x-prefix-hash"] == b"aa:800,bb:410,cc:250"
 
 
-def test_headers_of_the_connection_go_no_further_but_essential_ones_do() -> None:
+def test_connection_headers_are_dropped_except_for_essential_ones() -> None:
     listed = (b"connection", b"close, X-Odd, X-Model, X-Request-Id")
     call = read(listed, (b"x-odd", b"1"), (b"x-kept", b"2")).unwrap()
     found = dict(call.headers)
@@ -156,7 +156,7 @@
     )
 
 
-def test_all_terms_are_written() -> None:
+def test_all_terms_are_written_as_headers() -> None:
     terms = Terms(
         instance="i-1",
         left_s=1.0,
@@ -179,7 +179,7 @@
     "header",
     [(b"x-prefix-hash", b"aa"), (b"x-deadline-ms", b"?")],
 )
-def test_a_head_that_does_not_fit_is_refused(header: tuple[bytes, bytes]) -> None:
+def test_invalid_head_is_refused(header: tuple[bytes, bytes]) -> None:
     headers = tuple(h for h in BASE if h[0] != header[0])
     found = PlatformWire().read_call("POST", b"/", (*headers, header))
     assert isinstance(found, Err) and found.err_value.status == 400
@@ -197,8 +197,8 @@
 
 
 @pytest.mark.parametrize("value", USAGES)
-def test_a_usage_that_is_not_two_numbers_is_left_out(value: bytes) -> None:
-    """The request is served, and counts as one that names no tokens."""
+def test_token_usage_that_is_not_two_numbers_is_ignored(value: bytes) -> None:
+    """The request is served, and charged as one that names no tokens."""
     headers = tuple(h for h in BASE if h[0] != b"x-token-usage")
     found = PlatformWire().read_call(
         "POST", b"/", (*headers, (b"x-token-usage", value))
@@ -244,14 +244,14 @@
 
 
 @pytest.mark.parametrize("case", ANSWERS)
-def test_the_head_of_an_answer_is_read(case: str) -> None:
-    status, headers, wanted = ANSWERS[case]
+def test_answer_head_is_read(case: str) -> None:
+    status, headers, expected = ANSWERS[case]
     head = PlatformWire().read_answer(status, headers)
-    assert {name: getattr(head, name) for name in wanted} == wanted
+    assert {name: getattr(head, name) for name in expected} == expected
 
 
 class FakeDocuments:
-    """Takes documents; refuses all if ``problem`` is set."""
+    """Stores documents; refuses all calls if ``problem`` is set."""
 
     def __init__(self) -> None:
         self.problem: Problem | None = None
@@ -281,7 +281,7 @@
 REFUSED_CONFIGS = {
     "unknown service": {"routes": [wire.route(service="no")]},
     "split to an unknown service": {"routes": [wire.route(split=SPLIT)]},
-    "same place": {"routes": [wire.route(), wire.route(name="b")]},
+    "same path twice": {"routes": [wire.route(), wire.route(name="b")]},
     "no weight": {"routes": [wire.route(split=[{"service": "s", "weight": 0}])]},
     "no timeout": {"routes": [wire.route(timeoutMs=0)]},
     "negative rate": {"tenants": [{"name": "a", "perS": -1}]},
@@ -300,14 +300,14 @@
 
 
 @pytest.mark.parametrize("case", REFUSED_CONFIGS)
-def test_an_invalid_configuration_gets_400_and_is_not_kept(case: str) -> None:
+def test_invalid_configuration_gets_400_and_is_not_stored(case: str) -> None:
     documents = FakeDocuments()
     sent = wire.body(**REFUSED_CONFIGS[case])
     answer = control(documents, Directory()).post("/v1/Config.Put", content=sent)
     assert (answer.status_code, documents.held) == (400, None)
 
 
-def test_a_configuration_is_read_back_as_it_was_sent() -> None:
+def test_configuration_is_read_back_as_it_was_sent() -> None:
     documents = FakeDocuments()
     client = control(documents, Directory())
     assert client.get("/v1/Config.Get").status_code == 503
@@ -316,7 +316,7 @@
     assert client.get("/v1/Config.Get").content == sent
 
 
-def test_without_a_quorum_every_call_gets_503() -> None:
+def test_every_call_gets_503_without_a_quorum() -> None:
     documents = FakeDocuments()
     documents.problem = problem(NO_QUORUM, not_run=None)
     client = control(documents, Directory())
@@ -329,7 +329,7 @@
     assert [answer.status_code for answer in found] == [503, 503, 503]
 
 
-def test_beats_count_in_the_order_of_their_numbers() -> None:
+def test_heartbeats_apply_in_the_order_of_their_numbers() -> None:
     async def main() -> None:
         directory = Directory()
         announcements = Announcements(directory, beat_s=1.2)
@@ -348,7 +348,7 @@
         await post(app, "/v1/Instances.Deregister/i-1", {})
         await post(app, "/v1/Instances.Heartbeat/i-1", wire.beat(9))
         assert known().leaving
-        # One that this replica has not heard of is over all the same.
+        # An engine that this replica has no record of is marked as ended as well.
         await post(app, "/v1/Instances.Deregister/i-2", {})
         await post(app, "/v1/Instances.Heartbeat/i-2", wire.beat(1))
         assert directory.ready("s", now()) == ()
@@ -357,7 +357,7 @@
 
 
 async def post(app: ControlHttp, path: str, table: Any) -> None:
-    """A call on the running loop, whose clock the directory uses."""
+    """Send a call on the running loop, whose clock the directory uses."""
     import httpx2
 
     transport = httpx2.ASGITransport(app.build())
@@ -366,7 +366,7 @@
 
 
 def engine(status: int, table: Any) -> RawUpstream:
-    """An engine that answers every call alike."""
+    """Return an engine that answers every call with ``status`` and ``table``."""
 
     async def script(req: dict[str, str], body: bytes, writer: Writer) -> None:
         data = json.dumps(table).encode()
@@ -388,7 +388,7 @@
 
 
 @pytest.mark.parametrize("status", ORDERS)
-def test_an_order_names_its_holder_number_and_place(status: int) -> None:
+def test_order_names_its_holder_number_and_precondition(status: int) -> None:
     async def main() -> None:
         upstream = engine(status, {})
         await upstream.start()
@@ -414,7 +414,7 @@
     run(main())
 
 
-def test_an_order_without_an_answer_has_an_unknown_outcome() -> None:
+def test_order_without_an_answer_has_an_unknown_outcome() -> None:
     async def main() -> None:
         target = record("i-1", address="127.0.0.1:1")
         order = WeightsOrder("m", 4, holder="node", number=41, after=2)
@@ -424,7 +424,7 @@
     run(main())
 
 
-def test_a_report_is_read() -> None:
+def test_engine_report_is_read() -> None:
     async def main() -> None:
         models = [{"name": "m", "version": 3, "adapters": []}]
         upstream = engine(200, {"models": models, "busy": True, "seq": 2, "queued": 1})
@@ -438,7 +438,7 @@
     run(main())
 
 
-def test_events_and_lists_of_the_store_are_read() -> None:
+def test_store_events_and_lists_are_read() -> None:
     async def main() -> None:
         events = [[1, "+", "s", "aa", 8, "m"], [2, "-", "s", "bb", 0, "m"]]
         table = {"bootEpoch": 5, "next": 3, "lost": False, "events": events}
@@ -447,11 +447,14 @@
         store = PlatformStore()
         found = await store.follow(upstream.address, 1)
         assert found is not None and found.next == 3
-        assert [(e.key, e.tokens) for e in found.news.events] == [("aa", 8), ("bb", 0)]
+        assert [(e.key, e.tokens) for e in found.update.events] == [
+            ("aa", 8),
+            ("bb", 0),
+        ]
         assert upstream.requests[0]["wait-ms"] == "1000"
-        held = await store.read_all(upstream.address)
-        assert held is not None and held.news.whole
-        assert [(e.key, e.tokens) for e in held.news.events] == [("aa", 8)]
+        contents = await store.read_all(upstream.address)
+        assert contents is not None and contents.update.whole
+        assert [(e.key, e.tokens) for e in contents.update.events] == [("aa", 8)]
         await upstream.close()
         assert await PlatformStore().follow("127.0.0.1:1", 1) is None
 
@@ -484,9 +487,7 @@
 
 
 @pytest.mark.parametrize("role", ["gateway", "control"])
-def test_the_templates_render_settings_without_a_fault(
-    role: str, tmp_path: pathlib.Path
-) -> None:
+def test_templates_render_valid_settings(role: str, tmp_path: pathlib.Path) -> None:
     text = (DEPLOY / f"{role}.toml").read_text()
     for name, value in FILLED.items():
         text = text.replace(name, value)
@@ -513,23 +514,23 @@
 
 
 @pytest.mark.parametrize("case", STARTS)
-def test_a_gateway_beside_control_lets_it_load_first(
+def test_gateway_on_the_machine_of_a_control_replica_starts_after_it(
     case: str, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     import run as program
 
-    content, wanted = STARTS[case]
+    content, expected = STARTS[case]
     path = tmp_path / "settings.toml"
     path.write_bytes(content)
     slept: list[float] = []
     monkeypatch.setenv(program.SETTINGS, str(path))
-    monkeypatch.setattr(program.time, "sleep", sleep_noted(slept))
-    program.wait_for_others()
-    assert slept == ([] if wanted is None else [wanted])
+    monkeypatch.setattr(program.time, "sleep", recording_sleep(slept))
+    program.delay_start()
+    assert slept == ([] if expected is None else [expected])
 
 
-def sleep_noted(slept: list[float]) -> Callable[[Any], None]:
-    """A sleep that returns at once, and refuses what the real one refuses."""
+def recording_sleep(slept: list[float]) -> Callable[[Any], None]:
+    """Return a sleep that records its argument and refuses what the real one does."""
 
     def sleep(seconds: Any) -> None:
         slept.append(seconds + 0.0)
--- a/tests/test_silent_answer.py
+++ b/tests/test_silent_answer.py
@@ -1,4 +1,4 @@
-"""Whether an answer in one piece still comes, from what the engine says of it."""
+"""Whether a request without an answer is lost, judged by the engine's load report."""
 
 from __future__ import annotations
 
@@ -24,13 +24,13 @@
     "the request is open": ({"requests": [["req-1", "2"]], "waiting": 0}, False),
     "another attempt is open": ({"requests": [["req-1", "1"]], "waiting": 0}, True),
     "none is open": ({"requests": [], "waiting": 3}, True),
-    "not told, some wait": ({"waiting": 1}, False),
-    "not told, none waits": ({"waiting": 0}, True),
+    "not listed, some wait": ({"waiting": 1}, False),
+    "not listed, none waits": ({"waiting": 0}, True),
 }
 
 
 @pytest.mark.parametrize("case", LOADS)
-def test_a_request_counts_as_lost_only_if_the_engine_has_ended_it(
+def test_request_is_lost_only_if_the_engine_has_ended_it(
     tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch, case: str
 ) -> None:
     load, lost = LOADS[case]
@@ -46,15 +46,15 @@
             cfg = sidecar_cfg(tmp_path, upstream.url).sidecar
             assert cfg is not None
             watch = UpstreamWatch(
-                cfg, lambda *_: None, lambda _: None, NoIncarnations()
+                cfg, lambda *_: None, lambda _: None, IgnoreIncarnations()
             )
             assert await watch.lost("req-1", 2) is lost
 
     run(main())
 
 
-class NoIncarnations:
-    """Nobody wants to know."""
+class IgnoreIncarnations:
+    """An observer that ignores all events."""
 
     def upstream_gone(self, reason: str) -> None:
         pass
@@ -63,7 +63,7 @@
         pass
 
 
-def test_an_answer_on_its_way_gets_time_to_arrive(tmp_path: pathlib.Path) -> None:
+def test_answer_in_transit_gets_time_to_arrive(tmp_path: pathlib.Path) -> None:
     took: list[float] = []
 
     async def answer(req: Request, writer: Writer) -> None:
@@ -75,7 +75,7 @@
             cfg = sidecar_cfg(tmp_path, upstream.url).sidecar
             assert cfg is not None
             watch = UpstreamWatch(
-                cfg, lambda *_: None, lambda _: None, NoIncarnations()
+                cfg, lambda *_: None, lambda _: None, IgnoreIncarnations()
             )
             began = loop.time()
             await watch.lost("req-1", 1)
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -1,4 +1,4 @@
-"""Who follows the stores of KV cache, what the others hear, and what lies where."""
+"""Which gateways follow KV cache stores, what they relay, and which store is used."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 import pytest
 
 from gooseberrydale.connection.codec import encode
-from gooseberrydale.process.gateway.declared_store import DeclaredStore
+from gooseberrydale.process.gateway.source import DeclaredStore
 from gooseberrydale.process.gateway.store_follower import (
-    LIST_SPREAD_S,
-    Followed,
-    Others,
+    LIST_READ_SPREAD_S,
+    FollowReply,
+    Peers,
     StoreBusyError,
     StoreFollower,
 )
@@ -42,7 +42,7 @@
 
 @dataclass
 class FakeStore:
-    """A store that lets three callers wait, a second at most."""
+    """A store that lets three callers wait at once, each for at most a second."""
 
     incarnation: str = "1"
     up: bool = True
@@ -51,7 +51,7 @@
     lists: int = 0
     follows: int = 0
 
-    async def follow(self, address: str, since: int) -> Followed | None:
+    async def follow(self, address: str, since: int) -> FollowReply | None:
         if self.waiting >= MAX_FOLLOWERS:
             raise StoreBusyError
         self.waiting += 1
@@ -65,43 +65,43 @@
             self.waiting -= 1
         if not self.up:
             return None
-        news = StoreNews(self.incarnation, tuple(self.events[since:]))
-        return Followed(news, len(self.events))
+        update = StoreNews(self.incarnation, tuple(self.events[since:]))
+        return FollowReply(update, len(self.events))
 
-    async def read_all(self, address: str) -> Followed | None:
+    async def read_all(self, address: str) -> FollowReply | None:
         self.lists += 1
         if not self.up:
             return None
-        news = StoreNews(self.incarnation, tuple(self.events), whole=True)
-        return Followed(news, len(self.events))
+        update = StoreNews(self.incarnation, tuple(self.events), whole=True)
+        return FollowReply(update, len(self.events))
 
 
 class Fleet:
-    """Followers of many gateways that hear each other at once."""
+    """The followers of many gateways, with messages that arrive immediately."""
 
     def __init__(self, count: int, store: FakeStore) -> None:
         table = RouteTable(declared(stores=(KvStoreDecl("kv", STORE, "z"),)))
         self.names = [f"g{number}" for number in range(count)]
         self.stores = [Stores() for _ in self.names]
         self.followers: list[StoreFollower] = []
-        self.cut: set[str] = set()
+        self.muted: set[str] = set()
         for name, stores in zip(self.names, self.stores, strict=True):
-            known = DeclaredStore(ConfigStore(), lambda body: None)  # type: ignore
-            known.table = table
-            others = Others(
+            source = DeclaredStore(ConfigStore(), lambda body: None)  # type: ignore
+            source.table = table
+            peers = Peers(
                 name,
                 lambda: dict.fromkeys(self.names, 0.0),
-                lambda told, name=name: self.tell(name, told),  # type: ignore
+                lambda message, name=name: self.send(name, message),  # type: ignore
                 random.Random(name),
             )
-            self.followers.append(StoreFollower(known, store, stores, others))
+            self.followers.append(StoreFollower(source, store, stores, peers))
 
-    def tell(self, sender: str, told: StoreTidings) -> None:
-        if sender in self.cut:
+    def send(self, sender: str, message: StoreTidings) -> None:
+        if sender in self.muted:
             return
         for name, follower in zip(self.names, self.followers, strict=True):
             if name != sender:
-                follower.hear(told)
+                follower.receive(message)
 
     async def start(self) -> None:
         for follower in self.followers:
@@ -112,13 +112,13 @@
             await follower.close()
 
     def holding(self) -> int:
-        """How many gateways know that the store holds the prefix."""
+        """Count the gateways whose view says that the store holds the prefix."""
         views = [stores.of([LOT]) for stores in self.stores]
         return sum(view is not None and view.holds("s", [LOT]) for view in views)
 
 
 @pytest.mark.parametrize("count", [2, 20])
-def test_every_gateway_learns_what_the_store_holds(count: int) -> None:
+def test_every_gateway_receives_the_contents_of_the_store(count: int) -> None:
     async def main() -> None:
         store = FakeStore()
         fleet = Fleet(count, store)
@@ -132,14 +132,14 @@
         await asyncio.sleep(0.5)
         assert fleet.holding() == 0
         assert store.waiting <= RELAYS
-        # Nobody but the relays asks again and again.
+        # Only the relays keep calling the store.
         assert store.lists <= 2 * count
         await fleet.close()
 
     run_paused(main())
 
 
-def test_a_store_that_is_away_and_comes_back_empty_is_known_to_all() -> None:
+def test_all_gateways_notice_a_store_that_restarts_empty() -> None:
     async def main() -> None:
         store = FakeStore(events=[StoreEvent("s", "lot", 4_000)])
         fleet = Fleet(20, store)
@@ -158,22 +158,22 @@
     run_paused(main())
 
 
-def test_without_a_word_from_the_relays_the_list_is_read_again() -> None:
+def test_list_is_read_again_if_the_relays_fall_silent() -> None:
     async def main() -> None:
         store = FakeStore()
         fleet = Fleet(20, store)
         await fleet.start()
         await asyncio.sleep(3.0)
-        fleet.cut = set(fleet.names)
+        fleet.muted = set(fleet.names)
         store.events.append(StoreEvent("s", "lot", 4_000))
-        await asyncio.sleep(RELAY_SILENT_S + LIST_SPREAD_S + 1.0)
+        await asyncio.sleep(RELAY_SILENT_S + LIST_READ_SPREAD_S + 1.0)
         assert fleet.holding() == 20
         await fleet.close()
 
     run_paused(main())
 
 
-def test_parts_of_gateways() -> None:
+def test_roles_of_gateways() -> None:
     few = {f"g{number}": 0.0 for number in range(ALL_FOLLOW)}
     assert {part_of(name, few, STORE) for name in few} == {Part.FOLLOW}
     many = {f"g{number}": 0.0 for number in range(40)}
@@ -192,35 +192,35 @@
 
 @pytest.mark.parametrize("store", ["a", "b", "c"])
 def test_relays_have_wide_links(store: str) -> None:
-    """What they send to all others would fill the link that callers come over."""
+    """Messages to all other gateways would fill a thin link that callers share."""
     links = {f"g{n}": WIDE if n % 4 == 0 else THIN for n in range(26)}
-    found = relays(links, store)
-    assert len(found) == RELAYS
-    assert {links[name] for name in found} == {WIDE}
-    # Once one of them is gone, another one with a wide link takes its place.
-    lost = found.pop()
+    chosen = relays(links, store)
+    assert len(chosen) == RELAYS
+    assert {links[name] for name in chosen} == {WIDE}
+    # If one of them ends, another gateway with a wide link replaces it.
+    lost = chosen.pop()
     left = {name: mbps for name, mbps in links.items() if name != lost}
-    assert found < relays(left, store)
+    assert chosen < relays(left, store)
     assert {links[name] for name in relays(left, store)} == {WIDE}
 
 
-def test_one_wide_link_alone_does_not_carry_all() -> None:
+def test_a_single_wide_link_is_not_the_only_relay() -> None:
     links = {"wide": WIDE, **{f"g{n}": THIN for n in range(20)}}
     assert len(relays(links, STORE)) == RELAYS
 
 
-def test_tidings_fit_a_datagram() -> None:
+def test_store_messages_fit_a_datagram() -> None:
     events = tuple(
         StoreEvent("a-model-name.12345678.a-workspace", f"{n:016x}", 9_999)
         for n in range(100)
     )
-    told = tidings("10.100.100.100:10000", "123456789012", events, up=True)
-    assert sum((one.events for one in told), ()) == events
-    assert max(len(encode(one)) for one in told) < 2_000
+    messages = tidings("10.100.100.100:10000", "123456789012", events, up=True)
+    assert sum((message.events for message in messages), ()) == events
+    assert max(len(encode(message)) for message in messages) < 2_000
     assert len(tidings(STORE, "1", (), up=True)) == 1
 
 
-def test_prefixes_are_shared_out_among_the_stores_that_answer() -> None:
+def test_prefixes_are_distributed_over_the_stores_that_answer() -> None:
     stores = Stores()
     stores.declare(["a", "b", "c"])
     parts = [[PromptPart(f"lot{number}", 4_000)] for number in range(300)]
@@ -229,12 +229,12 @@
         view = stores.view(address)
         assert view is not None
         view.take(StoreNews("1", ()))
-    before = [found.address for one in parts if (found := stores.of(one))]
+    before = [chosen.address for part in parts if (chosen := stores.of(part))]
     assert all(before.count(address) > 70 for address in ("a", "b", "c"))
     lost = stores.view("b")
     assert lost is not None
     lost.lost()
-    after = [found.address for one in parts if (found := stores.of(one))]
+    after = [chosen.address for part in parts if (chosen := stores.of(part))]
     moved = [old for old, new in zip(before, after, strict=True) if old != new]
     assert set(moved) == {"b"} and "b" not in after
     assert stores.of([]) is None
--- a/tests/test_upstream_backoff.py
+++ b/tests/test_upstream_backoff.py
@@ -1,4 +1,4 @@
-"""Upstreams that refuse a request and want none from the gateway for a time."""
+"""Upstreams that refuse a request and ask the gateway to back off for a time."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 BACKOFF_S = 3.0
 SETTLE_S = 0.5
-"""Requests that were under way may still come for so long."""
+"""Requests that were already being sent may still arrive for this long."""
 
 REFUSAL = f"signed: 1\r\nnot-run: 1\r\nretry-after: {BACKOFF_S}"
 
 
 class BusyUpstream:
-    """Refuses all requests with a time to back off, while ``is_short``."""
+    """An upstream that refuses all requests with a backoff time while ``is_short``."""
 
     def __init__(self, name: str, refusal: str = REFUSAL) -> None:
         self.server = RawUpstream(name, self._serve)
@@ -45,15 +45,15 @@
         else:
             writer.write(answer_bytes(req["id"], body))
 
-    def most_in_a_backoff(self) -> int:
-        """The most requests that came in such a time after one that was refused."""
+    def max_arrivals_per_backoff(self) -> int:
+        """Return the highest number of arrivals within any one backoff time."""
         return max(
             sum(at + SETTLE_S < other <= at + BACKOFF_S for other in self.arrivals)
             for at in self.arrivals
         )
 
 
-def test_the_time_to_back_off_is_logged() -> None:
+def test_backoff_time_is_logged() -> None:
     async def main() -> None:
         busy, other = BusyUpstream("u1"), LimitedUpstream("u2")
         with logged("upstream_backoff") as lines:
@@ -67,7 +67,7 @@
     run(main())
 
 
-def test_an_upstream_gets_no_requests_while_it_asks_to_back_off() -> None:
+def test_upstream_gets_no_requests_during_its_backoff_time() -> None:
     async def main() -> None:
         busy, other = BusyUpstream("u1"), LimitedUpstream("u2")
         async with running_gateway(declared(), busy.server, other.server) as gateway:
@@ -75,13 +75,13 @@
                 got = await call(gateway, request_id=f"r{number}")
                 assert got.status == 200
                 await asyncio.sleep(0.04)
-        assert busy.most_in_a_backoff() <= 2
+        assert busy.max_arrivals_per_backoff() <= 2
 
     run(main())
 
 
 @pytest.mark.parametrize("refusal", [REFUSAL, f"retry-after: {BACKOFF_S}"])
-def test_the_time_is_kept_whether_or_not_the_request_is_said_to_have_run(
+def test_backoff_applies_whether_or_not_the_request_is_reported_as_not_run(
     refusal: str,
 ) -> None:
     async def main() -> None:
@@ -96,7 +96,7 @@
     run(main())
 
 
-def test_who_finds_all_upstreams_backed_off_is_refused_at_once() -> None:
+def test_request_is_refused_immediately_if_all_upstreams_back_off() -> None:
     async def main() -> None:
         busy = BusyUpstream("u1")
         async with running_gateway(declared(), busy.server) as gateway:
@@ -113,7 +113,7 @@
     run(main())
 
 
-def test_the_time_ends_and_is_not_that_of_the_next_incarnation() -> None:
+def test_backoff_expires_and_does_not_apply_to_the_next_incarnation() -> None:
     async def main() -> None:
         busy = BusyUpstream("u1", "signed: 1\r\nnot-run: 1\r\nretry-after: 0.4")
         async with running_gateway(declared(), busy.server) as gateway:
@@ -124,8 +124,8 @@
             assert second - first >= 0.4
             now = asyncio.get_running_loop().time()
             gateway._upstreams.back_off("u1", 60.0, now)
-            again = record("u1", incarnation="2", address=busy.server.address)
-            gateway.directory.offer(again, now)
+            restarted = record("u1", incarnation="2", address=busy.server.address)
+            gateway.directory.offer(restarted, now)
             assert (await call(gateway, request_id="r3")).status == 200
 
     run(main())
