--- a/tests/test_upstream_leaving.py
+++ b/tests/test_upstream_leaving.py
@@ -1,4 +1,4 @@
-"""Upstreams that say in their answers that they leave."""
+"""Upstreams whose answers announce that they leave."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 DRAIN_S = 0.5
 
 
-def test_an_upstream_that_answers_that_it_leaves_gets_no_new_requests() -> None:
-    """Before anybody else has told that it leaves, and for as long as it is there."""
+def test_upstream_that_announces_leaving_in_an_answer_gets_no_new_requests() -> None:
+    """This holds before control announces it, and until the upstream has ended."""
     leaving_at: list[float] = []
     arrivals: list[float] = []
 
