--- a/gooseberrydale/process/gateway/answer.py
+++ b/gooseberrydale/process/gateway/answer.py
@@ -71,7 +71,7 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """Send a chunk of the body."""
+        """Send one chunk of the body."""
         await self._send_chunk(data, more=True)
 
     async def end(self) -> None:
--- a/gooseberrydale/process/gateway/app.py
+++ b/gooseberrydale/process/gateway/app.py
@@ -245,7 +245,7 @@
         return table.declared.pools[share.pool]
 
     async def _run(self, forwarder: Forwarder) -> None:
-        """Forwarder the request until it is answered or the caller disconnects."""
+        """Forward the request until it is answered or the caller disconnects."""
         work = asyncio.create_task(forwarder.run())
         disconnected = asyncio.create_task(self._disconnected())
         try:
--- a/gooseberrydale/process/gateway/declared_store.py
+++ b/gooseberrydale/process/gateway/declared_store.py
@@ -1,7 +1,7 @@
 """Decodes the document that is in force, and waits for newer ones.
 
 There is one store per process.  A document that this release can't decode is logged as
-an error and skipped; the previous one stays in force.  Documents are checked previous
+an error and skipped; the previous one stays in force.  Documents are checked before
 they are accepted, so such a document must have been accepted by another release.
 """
 
--- a/gooseberrydale/process/gateway/placing.py
+++ b/gooseberrydale/process/gateway/placing.py
@@ -35,7 +35,7 @@
 
 HOLD_S = 0.8
 """How long a request waits for a usable upstream at most.  A change of weights ends
-within this time.  A caller that was refused instead would not retry any sooner, and
+within this time.  A refused caller would not retry before that either, and would do so
 only once."""
 
 HOLD_FRACTION = 0.25
@@ -181,9 +181,9 @@
         return candidates
 
     def _raise_if_rate_limited(self, until: float) -> None:
-        """Raise :class:`NoCapacityError` if the request can't be sent by ``until``.
+        """Raise :class:`NoCapacityError` if no upstream takes a request by ``until``.
 
-        That is, all upstreams limit their rate or back off for longer than that.
+        That is the case if all of them limit their rate or back off until later.
         """
         now = _now()
         permit_s = self._upstreams.next_permit_s(self._query(), now)
--- a/gooseberrydale/process/gateway/prober.py
+++ b/gooseberrydale/process/gateway/prober.py
@@ -1,4 +1,4 @@
-"""Probes silent upstreams with connections, so that no request is needed as a test.
+"""Probes silent upstreams by connecting to them instead of sending requests.
 
 There is one prober per process.  A machine that loses power resets no connections:
 requests to it wait for three seconds, until the kernel gives up their bytes, and any
--- a/gooseberrydale/process/gateway/send.py
+++ b/gooseberrydale/process/gateway/send.py
@@ -175,10 +175,10 @@
         return self._deps.connections(self._job.pool)
 
     def _abandon(self, conn: HttpConn) -> None:
-        """Abandon an answer.
+        """Close the connection of an answer that is not read to its end.
 
-        The connection of a request that must not run twice stays open until the
-        deadline, so that its run is not cut short.
+        If the request must not run twice, the connection stays open until the deadline,
+        so that its run can still complete.
         """
         if self._job.repeatable or self._job.route.streamed or not conn.sent:
             conn.abort()
@@ -209,15 +209,15 @@
         if head.instance in (None, record.name):
             self._note_backpressure(head, record)
         if head.not_run:
-            return await self._take_refusal(conn, head, record)
+            return await self._handle_refusal(conn, head, record)
         if not head.ok:
-            return await self._take_failure(conn, head, record, load)
+            return await self._handle_failure(conn, head, record, load)
         if not head.signed or head.encoded:
             raise UpstreamError(
                 "the answer has no upstream stamp or is encoded", sent=True
             )
         if job.route.streamed:
-            await self._pass_stream(conn, head, record, load, work)
+            await self._forward_stream(conn, head, record, load, work)
         else:
             body = await _read_whole(conn)
             await self._answer.whole(head.status, head.headers, body)
@@ -241,7 +241,7 @@
             return not head.ok
         return head.request_id == self._job.call.request_id
 
-    async def _take_refusal(
+    async def _handle_refusal(
         self, conn: HttpConn, head: AnswerHead, record: UpstreamRecord
     ) -> End:
         self.runs -= 1
@@ -251,7 +251,7 @@
         self._deps.upstreams.refused(record.name, _now(), replaced=replaced)
         return End.REFUSED
 
-    async def _take_failure(
+    async def _handle_failure(
         self,
         conn: HttpConn,
         head: AnswerHead,
@@ -269,7 +269,7 @@
         await self._answer.whole(head.status, head.headers, body)
         return None
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         conn: HttpConn,
         head: AnswerHead,
--- a/gooseberrydale/process/gateway/upstreams.py
+++ b/gooseberrydale/process/gateway/upstreams.py
@@ -147,7 +147,9 @@
         """Record the end of a send to an incarnation of an upstream."""
         load.runs.ended(run, now, end)
         if load.runs.is_over and end is not RunEnd.ANSWERED:
-            self.ended(name, load, now, "a connection broke after the end")
+            self.ended(
+                name, load, now, "a connection broke after its incarnation ended"
+            )
 
     def refusing(self, now: float) -> tuple[str, ...]:
         """The upstreams that recently refused a request of this process."""
@@ -233,7 +235,7 @@
         ranks = self._preference_ranks(query)
         stored = self._stored(records, query)
         if not ranks:
-            # Equal upstreams would be tried in the same order by every process.
+            # Otherwise every process would try equal upstreams in the same order.
             self.rng.shuffle(records)
         unreported = self._unreported_work(records)
         candidates = [
@@ -390,15 +392,16 @@
     def _unreported_work(self, records: Sequence[UpstreamRecord]) -> Load | None:
         """Estimate the work of gateways without reports, at each of ``records``.
 
-        Their number times the mean reported work is spread evenly.  Scaling each
-        engine's own load instead would be wrong by whole prompts: in a zone of six
-        gateways a single prompt would make an idle engine seem full.
+        Unreported gateways are assumed to have as much work each as those that report,
+        spread evenly over the upstreams.  Scaling each engine's own load instead would
+        be wrong by whole prompts: with one prompt in a zone of six gateways, an idle
+        engine would seem full.
         """
-        gateways = self._peers.unheard
-        if not gateways or not records:
+        unreported_ratio = self._peers.unheard
+        if not unreported_ratio or not records:
             return None
         reported = [self._peers.at(record.name) for record in records]
-        per_record = gateways / len(records)
+        per_record = unreported_ratio / len(records)
         return Load(
             requests=per_record * sum(work.requests for work in reported),
             prefill_tokens=per_record * sum(work.prefill_tokens for work in reported),
--- a/tests/test_gateway_views.py
+++ b/tests/test_gateway_views.py
@@ -298,7 +298,8 @@
     weights.note({"m": 1}, 0.0)
     weights.note({"m": 2}, 1.0)
     asked = prompt(("guide", 100))
-    # 6.6 s is half a second earlier than work may start too late after 2.4 s inside.
+    # The weights are outdated since 1.0 s and the bound is 8 s.  As work may wait 2.4 s
+    # inside an engine, new work ends 2.5 s earlier, at 6.5 s.
     assert candidates_by_name(view, asked, 6.4).keys() == {"old", "new"}
     assert candidates_by_name(view, asked, 6.6).keys() == {"new"}
 
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -9,7 +9,7 @@
 import pytest
 
 from gooseberrydale.connection.codec import encode
-from gooseberrydale.process.gateway.source import DeclaredStore
+from gooseberrydale.process.gateway.declared_store import DeclaredStore
 from gooseberrydale.process.gateway.store_follower import (
     LIST_READ_SPREAD_S,
     FollowReply,
