--- a/gooseberrydale/process/gateway/forward.py
+++ b/gooseberrydale/process/gateway/forward.py
@@ -1,7 +1,7 @@
 """Forwards one request to upstreams until its caller has an answer.
 
 There is one forwarder per request.  It chooses an upstream, has the request sent, and
-decides after each send without a complete answer whether to send it to another upstream.
+decides after each send without a complete answer whether to try another upstream.
 """
 
 from __future__ import annotations
--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -312,8 +312,8 @@
     def _count_gateways(self) -> int:
         """Count the announced gateways; at least the number in the settings."""
         now = asyncio.get_running_loop().time()
-        known = len(self.directory.ready(GATEWAY_POOL, now))
-        return max(self._cfg.gateways, known)
+        announced = len(self.directory.ready(GATEWAY_POOL, now))
+        return max(self._cfg.gateways, announced)
 
     def _connections(self, pool: Pool) -> int | None:
         """How many connections this gateway may open to one upstream of ``pool``."""
--- a/gooseberrydale/process/gateway/measures.py
+++ b/gooseberrydale/process/gateway/measures.py
@@ -84,8 +84,8 @@
 
     def over_quota(self, workspace: str, cost: int) -> None:
         """Count refused cost by workspace; those beyond the maximum share a name."""
-        known = self._workspaces
-        if workspace not in known and len(known) >= MAX_WORKSPACE_SERIES:
+        recorded = self._workspaces
+        if workspace not in recorded and len(recorded) >= MAX_WORKSPACE_SERIES:
             workspace = OTHER_WORKSPACES
-        known.add(workspace)
+        recorded.add(workspace)
         self._instruments.over_quota.add(cost, {"workspace": workspace})
--- a/gooseberrydale/process/gateway/prober.py
+++ b/gooseberrydale/process/gateway/prober.py
@@ -65,6 +65,7 @@
         self._probes.pop(name, None)
 
     async def _ask(self, record: UpstreamRecord) -> None:
+        """Probe one upstream and record whether it accepted the connection."""
         loop = asyncio.get_running_loop()
         load = self._upstreams.load_of(record.name)
         silence = load.silence
--- a/gooseberrydale/process/gateway/upstreams.py
+++ b/gooseberrydale/process/gateway/upstreams.py
@@ -290,19 +290,19 @@
 
     def sweep(self, now: float) -> set[str]:
         """Drop the state of removed upstreams; return the names of the others."""
-        known = {record.name for record in self._directory.records(now)}
+        current = {record.name for record in self._directory.records(now)}
         for view in self._pools.values():
-            known.update(record.name for record in view.records)
-        self.limits.retain(known, now)
-        for name in self._loads.keys() - known:
+            current.update(record.name for record in view.records)
+        self.limits.retain(current, now)
+        for name in self._loads.keys() - current:
             if not self._loads[name].outlasts_record(now):
                 del self._loads[name]
-        for name in self._incarnations.keys() - known:
+        for name in self._incarnations.keys() - current:
             del self._incarnations[name]
         for address, name in list(self._at_address.items()):
-            if name not in known:
+            if name not in current:
                 del self._at_address[address]
-        return known
+        return current
 
     def _replace_earlier_incarnations(
         self, records: Iterable[UpstreamRecord], now: float
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -35,17 +35,17 @@
 
 
 def test_configuration_is_decoded() -> None:
-    found = decode_document(wire.body()).unwrap()
-    [route] = found.routes
-    assert found.number == 7
+    declared = decode_document(wire.body()).unwrap()
+    [route] = declared.routes
+    assert declared.number == 7
     assert (route.host, route.path_prefix) == ("h.example", "/a/")
     assert (route.timeout_s, route.objective_s) == (6.0, 0.4)
     assert (route.streamed, route.resumable, route.repeatable) == (True, True, False)
     assert (route.shares, route.max_runs) == ((Share("s", 1.0),), 2)
-    assert found.pools["s"].engine == EngineSize(48, 1_000)
-    assert [store.address for store in found.stores] == ["10.0.0.1:1"]
-    assert found.limits == CallerLimits(100, 200, 0.3, 0.4)
-    assert found.workspaces == (KeyHolder("t", ("k1",), 1, True),)
+    assert declared.pools["s"].engine == EngineSize(48, 1_000)
+    assert [store.address for store in declared.stores] == ["10.0.0.1:1"]
+    assert declared.limits == CallerLimits(100, 200, 0.3, 0.4)
+    assert declared.workspaces == (KeyHolder("t", ("k1",), 1, True),)
 
 
 QUOTAS: dict[str, tuple[dict[str, Any], Quota | None]] = {
@@ -97,9 +97,9 @@
 
 @pytest.mark.parametrize("case", UNREADABLE)
 def test_undecodable_configuration_is_refused(case: str) -> None:
-    found = decode_document(UNREADABLE[case])
-    assert isinstance(found, Err)
-    assert found.err_value.status == 400
+    result = decode_document(UNREADABLE[case])
+    assert isinstance(result, Err)
+    assert result.err_value.status == 400
 
 
 BASE = (
@@ -138,18 +138,22 @@
     sent = PlatformWire().request_headers(call, Terms(instance="i-1", left_s=1.2345))
     assert b"forged" not in [value for _, value in sent]
     assert b"k1" not in [value for _, value in sent]
-    found = dict(sent)
-    assert found[b"x-expect-instance"] == b"i-1"
-    assert found[b"x-deadline-ms"] == b"1234"
-    assert found[b"x-prefix-hash"] == b"aa:800,bb:410,cc:250"
+    sent_headers = dict(sent)
+    assert sent_headers[b"x-expect-instance"] == b"i-1"
+    assert sent_headers[b"x-deadline-ms"] == b"1234"
+    assert sent_headers[b"x-prefix-hash"] == b"aa:800,bb:410,cc:250"
 
 
 def test_connection_headers_are_dropped_except_for_essential_ones() -> None:
     listed = (b"connection", b"close, X-Odd, X-Model, X-Request-Id")
     call = read(listed, (b"x-odd", b"1"), (b"x-kept", b"2")).unwrap()
-    found = dict(call.headers)
-    assert b"x-odd" not in found and b"connection" not in found
-    assert (found[b"x-kept"], found[b"x-model"], found[b"x-request-id"]) == (
+    forwarded = dict(call.headers)
+    assert b"x-odd" not in forwarded and b"connection" not in forwarded
+    assert (
+        forwarded[b"x-kept"],
+        forwarded[b"x-model"],
+        forwarded[b"x-request-id"],
+    ) == (
         b"2",
         b"m",
         b"r1",
@@ -168,11 +172,14 @@
         fetch_from="10.0.0.1:1",
         save_to="10.0.0.2:2",
     )
-    found = dict(PlatformWire().request_headers(read().unwrap(), terms))
-    assert found[b"x-tenant"] == b"t"
-    assert (found[b"x-expect-version"], found[b"x-cache-salt"]) == (b"3", b"m.3")
-    assert (found[b"x-request-priority"], found[b"last-event-id"]) == (b"0", b"9")
-    assert (found[b"x-kv-fetch"], found[b"x-kv-save"]) == (b"10.0.0.1:1", b"10.0.0.2:2")
+    written = dict(PlatformWire().request_headers(read().unwrap(), terms))
+    assert written[b"x-tenant"] == b"t"
+    assert (written[b"x-expect-version"], written[b"x-cache-salt"]) == (b"3", b"m.3")
+    assert (written[b"x-request-priority"], written[b"last-event-id"]) == (b"0", b"9")
+    assert (written[b"x-kv-fetch"], written[b"x-kv-save"]) == (
+        b"10.0.0.1:1",
+        b"10.0.0.2:2",
+    )
 
 
 @pytest.mark.parametrize(
@@ -181,8 +188,8 @@
 )
 def test_invalid_head_is_refused(header: tuple[bytes, bytes]) -> None:
     headers = tuple(h for h in BASE if h[0] != header[0])
-    found = PlatformWire().read_call("POST", b"/", (*headers, header))
-    assert isinstance(found, Err) and found.err_value.status == 400
+    result = PlatformWire().read_call("POST", b"/", (*headers, header))
+    assert isinstance(result, Err) and result.err_value.status == 400
 
 
 USAGES = {
@@ -200,10 +207,10 @@
 def test_token_usage_that_is_not_two_numbers_is_ignored(value: bytes) -> None:
     """The request is served, and charged as one that names no tokens."""
     headers = tuple(h for h in BASE if h[0] != b"x-token-usage")
-    found = PlatformWire().read_call(
+    result = PlatformWire().read_call(
         "POST", b"/", (*headers, (b"x-token-usage", value))
     )
-    prompt = found.unwrap().prompt
+    prompt = result.unwrap().prompt
     assert prompt is not None
     assert (prompt.tokens, prompt.max_new_tokens, prompt.usage) == USAGES[value]
 
@@ -321,12 +328,12 @@
     documents.problem = problem(NO_QUORUM, not_run=None)
     client = control(documents, Directory())
     weights = {"model": "m", "version": 2}
-    found = [
+    answers = [
         client.post("/v1/Config.Put", content=wire.body()),
         client.get("/v1/Config.Get"),
         client.post("/v1/version-put", json=weights),
     ]
-    assert [answer.status_code for answer in found] == [503, 503, 503]
+    assert [answer.status_code for answer in answers] == [503, 503, 503]
 
 
 def test_heartbeats_apply_in_the_order_of_their_numbers() -> None:
@@ -336,18 +343,22 @@
         app = ControlHttp(FakeDocuments(), announcements)  # type: ignore[arg-type]
         now = asyncio.get_running_loop().time
 
-        def known() -> Any:
+        def stored_record() -> Any:
             return directory.get("i-1", now())
 
         await post(app, "/v1/Instances.Heartbeat/i-1", wire.beat(4))
-        assert (known().pool, known().model, known().weights_version) == ("s", "m", "3")
+        assert (
+            stored_record().pool,
+            stored_record().model,
+            stored_record().weights_version,
+        ) == ("s", "m", "3")
         await post(app, "/v1/Instances.Heartbeat/i-1", wire.beat(6, state="draining"))
-        assert known().leaving and not known().ready
+        assert stored_record().leaving and not stored_record().ready
         await post(app, "/v1/Instances.Heartbeat/i-1", wire.beat(5))
-        assert known().leaving
+        assert stored_record().leaving
         await post(app, "/v1/Instances.Deregister/i-1", {})
         await post(app, "/v1/Instances.Heartbeat/i-1", wire.beat(9))
-        assert known().leaving
+        assert stored_record().leaving
         # An engine that this replica has no record of is marked as ended as well.
         await post(app, "/v1/Instances.Deregister/i-2", {})
         await post(app, "/v1/Instances.Heartbeat/i-2", wire.beat(1))
@@ -430,9 +441,9 @@
         upstream = engine(200, {"models": models, "busy": True, "seq": 2, "queued": 1})
         await upstream.start()
         target = record("i-1", address=upstream.address)
-        found = await PlatformEngines().report(target)
-        assert found is not None
-        assert (found.versions, found.accepted, found.busy) == ({"m": 3}, 2, True)
+        report = await PlatformEngines().report(target)
+        assert report is not None
+        assert (report.versions, report.accepted, report.busy) == ({"m": 3}, 2, True)
         await upstream.close()
 
     run(main())
@@ -445,9 +456,9 @@
         upstream = engine(200, {**table, "held": [["s", "aa", 8, "m"]]})
         await upstream.start()
         store = PlatformStore()
-        found = await store.follow(upstream.address, 1)
-        assert found is not None and found.next == 3
-        assert [(e.key, e.tokens) for e in found.update.events] == [
+        reply = await store.follow(upstream.address, 1)
+        assert reply is not None and reply.next == 3
+        assert [(e.key, e.tokens) for e in reply.update.events] == [
             ("aa", 8),
             ("bb", 0),
         ]
