--- a/gooseberrydale/request/__init__.py
+++ b/gooseberrydale/request/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions and state that live for one request."""
+"""Decisions about one request and the state that is kept for it."""
--- a/gooseberrydale/request/attached.py
+++ b/gooseberrydale/request/attached.py
@@ -1,7 +1,8 @@
-"""The rest of an answer that runs already, started by way of another request.
+"""Reads the rest of an answer that an earlier request started.
 
-Lives for one request.  It can't be resumed on another upstream, since the text that
-the caller has got is not known here; it ends with an error if its sidecar is lost.
+There is one reader per request.  The text that the caller already has is not known
+here, so the answer can't be resumed on another upstream: it ends with an error if its
+sidecar is lost.
 """
 
 from __future__ import annotations
@@ -16,9 +17,9 @@
 from gooseberrydale.request.deps import Deps
 from gooseberrydale.request.exchange import LATEST_ATTEMPT, Exchange, ExchangeLost
 from gooseberrydale.request.job import Part, ReaderReplaced
-from gooseberrydale.request.parts import PartMaker
+from gooseberrydale.request.parts import PartBuilder
 from gooseberrydale.request.reassembly import (
-    Broken,
+    AttemptFailed,
     Deliver,
     Finished,
     NeedAttach,
@@ -29,11 +30,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttachTarget:
-    """What to attach to, and the offset of the first event wanted.
+    """The attempt to attach to, and the ``offset`` of the first event to read.
 
-    ``upstream`` is the sidecar's name, ``profile`` the name that the answer carries
-    (empty leaves the answer as it is), ``streamed`` whether the caller wants events,
-    ``attempt`` the number of the attempt if it is known.
+    ``upstream`` is the sidecar's name.  ``profile`` is the name to write into the
+    answer; if empty, the answer is not rewritten.  ``streamed`` says whether the
+    caller asked for a stream.  ``attempt`` is None if its number is not known.
     """
 
     endpoint: Endpoint
@@ -47,12 +48,12 @@
 
 
 class AttachedAnswer:
-    """Goes on with a running answer; use ``answer`` once, within ``aclosing``."""
+    """Reads a running answer.  Call ``answer`` once and wrap it in ``aclosing``."""
 
     def __init__(self, deps: Deps, target: AttachTarget) -> None:
         self._deps = deps
         self._target = target
-        self._parts = PartMaker(target.request_id, target.profile, target.streamed)
+        self._parts = PartBuilder(target.request_id, target.profile, target.streamed)
         self._parts.begin(target.upstream, target.endpoint.incarnation)
         self._reassembly = Reassembly(target.request_id, target.offset)
         self._attempt: int | None = None
@@ -67,11 +68,11 @@
         )
 
     def hand_over(self) -> None:
-        """Leave the answer running at its sidecar when ``answer`` is closed."""
+        """Let the sidecar keep running the attempt after ``answer`` is closed."""
         self._handed_over = True
 
     async def answer(self) -> AsyncGenerator[Part, None]:
-        """The rest of the answer; raises :class:`ProblemError` if it breaks off.
+        """Yield the rest of the answer; raises :class:`ProblemError` if it fails.
 
         Raises :class:`ReaderReplaced` if a newer reader takes over.
         """
@@ -81,7 +82,7 @@
                 for part in await self._step():
                     yield part
         finally:
-            self._release()
+            self._close_exchange()
 
     async def _step(self) -> list[Part]:
         try:
@@ -91,7 +92,7 @@
                 raise ReaderReplaced from None
             self._attach()
             return []
-        self._learn_attempt(frame)
+        self._set_attempt(frame)
         parts: list[Part] = []
         for action in self._reassembly.feed(frame):
             match action:
@@ -103,26 +104,26 @@
                     parts += self._parts.finish()
                 case NeedAttach():
                     self._attach()
-                case Broken():
+                case AttemptFailed():
                     raise ProblemError(action.problem)
         return parts
 
     def _attach(self) -> None:
-        if self._exchange.attach_tried:
+        if self._exchange.attach_exhausted:
             raise ProblemError(problem(STREAM_INCOMPLETE, not_run=False))
         self._exchange.attach(self._reassembly.next_offset)
         self._reassembly.attached()
         self._deps.instruments.attaches.add(1)
 
-    def _learn_attempt(self, frame: Frame) -> None:
-        """The first frame names the attempt; nothing before it does."""
+    def _set_attempt(self, frame: Frame) -> None:
+        """Take the attempt number from the first frame; it may be unknown before."""
         if self._attempt is not None or isinstance(frame, Heartbeat):
             return
         if self._exchange.is_current(frame):
             self._attempt = frame.attempt
             self._reassembly.begin(frame.attempt, self._target.endpoint.incarnation)
 
-    def _release(self) -> None:
+    def _close_exchange(self) -> None:
         self._exchange.stop()
         if self._reassembly.finished or self._handed_over or self._attempt is None:
             return
--- a/gooseberrydale/request/attempt_end.py
+++ b/gooseberrydale/request/attempt_end.py
@@ -1,10 +1,10 @@
-"""What follows when a send to an upstream did not bring a whole answer.  Pure.
+"""Decides what to do when a send to an upstream did not return a complete answer.
 
-The decision rests on whether the request can have run, and whether it may run again.
-A request that may not be repeated is sent again only if its upstream states that it
-did not run it, or if nothing was sent.  Sends beyond the first are paid from the
-pool's retry budget, unless the one before did not leave this process: then no upstream
-has got the request twice.
+Pure.  The decision depends on whether the request may have run and whether it may run
+again.  A request that is not repeatable is sent again only if the upstream states that
+it did not run it, or if it was not sent.  Each further send takes a token from the
+pool's retry budget, unless the previous one failed to connect, because then
+upstreams do not receive the request twice.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from gooseberrydale.request.comeback import after_refusal_s
 
 MAX_SENDS = 3
-"""Upstreams that one request is sent to at most, refusals included.  A third one makes
-up for one that has just died beside one that changes its weights."""
+"""Most upstreams that one request is sent to, refusals included.  With three, a request
+survives that one upstream has just died while another one changes its weights."""
 
-MIN_LEFT_S = 0.05
-"""With less time left another send can't bring an answer in time."""
+MIN_REMAINING_S = 0.05
+"""With less time left, another send can't return an answer in time."""
 
 
 class Retries(Protocol):
-    """Sends beyond the first that a process may make."""
+    """A budget for sends beyond the first one of a request."""
 
     def spend(self, now: float) -> bool:
-        """Take one; False means that none may be made now."""
+        """Take one token; False if none is left."""
 
 
 class End(Enum):
-    """How a send ended without a whole answer."""
+    """How a send ended without a complete answer."""
 
     NOT_SENT = auto()
-    """No connection; the upstream has not got the request."""
+    """No connection; the request did not reach the upstream."""
     REFUSED = auto()
     """The upstream states that it did not run the request."""
     FAILED = auto()
@@ -44,11 +44,11 @@
     LOST = auto()
     """The connection ended before an answer; it may have run."""
     INVALID = auto()
-    """The answer was not whole, or not the upstream's own."""
+    """The answer was incomplete, or did not come from the upstream itself."""
     TIMED_OUT = auto()
-    """The time of the request has ended."""
+    """The deadline of the request passed."""
     MOVED = auto()
-    """The router took a stream that may be resumed away from its upstream."""
+    """The router moved a resumable stream away from its upstream."""
 
 
 _NOT_RUN = frozenset({End.NOT_SENT, End.REFUSED})
@@ -56,7 +56,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Sends:
-    """What became of a request so far; ``runs`` counts the sends that may have run."""
+    """The sends of a request so far.
+
+    ``sends`` counts all of them, ``runs`` those that may have run; ``end`` is how the
+    last one ended.
+    """
 
     sends: int
     runs: int
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PassOn:
-    """Give the caller the upstream's own failure."""
+    """Forward the upstream's own error response to the caller."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -94,31 +98,31 @@
     budget: Retries,
     now: float,
 ) -> Step:
-    """Decide what follows; takes a token from ``budget`` if it sends again.
+    """Return the next step; takes a token from ``budget`` if it is another send.
 
-    ``others`` says whether an upstream is left that was not tried.
+    ``others`` says whether there is an upstream that was not tried yet.
     """
     if sends.end is End.TIMED_OUT:
-        return GiveUp(_waited(sends))
+        return GiveUp(_timeout_problem(sends))
     allowed = sends.end in _NOT_RUN or (repeatable and sends.runs < max_runs)
-    useful = others and left_s > MIN_LEFT_S and sends.sends < MAX_SENDS
+    useful = others and left_s > MIN_REMAINING_S and sends.sends < MAX_SENDS
     paid = sends.end is End.NOT_SENT or (allowed and useful and budget.spend(now))
     if allowed and useful and paid:
         return SendAgain()
     if sends.end is End.FAILED:
         return PassOn()
-    return GiveUp(_final(sends, pool, left_s))
+    return GiveUp(_final_problem(sends, pool, left_s))
 
 
-def _waited(sends: Sends) -> Problem:
+def _timeout_problem(sends: Sends) -> Problem:
     return problem(errors.WAITED_TOO_LONG, not_run=None if sends.runs else True)
 
 
-def _final(sends: Sends, pool: str, left_s: float) -> Problem:
+def _final_problem(sends: Sends, pool: str, left_s: float) -> Problem:
     if not sends.runs:
         after_s = after_refusal_s(left_s)
         return problem(errors.UPSTREAMS_REFUSE, pool=pool, retry_after_s=after_s)
     if sends.end is End.INVALID:
-        reason = "it broke off or was not its own"
+        reason = "it was incomplete or did not come from the upstream itself"
         return problem(errors.UPSTREAM_ANSWER_INVALID, not_run=None, reason=reason)
     return problem(errors.OUTCOME_UNKNOWN, not_run=None)
--- a/gooseberrydale/request/background.py
+++ b/gooseberrydale/request/background.py
@@ -1,4 +1,4 @@
-"""Tasks that outlive the request that started them; lives as long as the process."""
+"""Background tasks of the process, which may outlive the request that starts them."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class Background:
-    """Runs short pieces of work and sees them to their end."""
+    """Runs short tasks, logs their errors, and waits for them on shutdown."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task[Any]] = set()
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run ``work``; what it raises is logged."""
+        """Run ``work`` as a task; an exception that it raises is logged."""
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._done)
@@ -25,17 +25,17 @@
     async def run_at_most(
         self, work: Coroutine[Any, Any, Any], timeout_s: float
     ) -> None:
-        """Wait for ``work`` so long; it goes on after that."""
+        """Wait up to ``timeout_s`` for ``work``; it continues after that."""
         await asyncio.wait({self.spawn(work)}, timeout=timeout_s)
 
     async def close(self, grace_s: float) -> None:
-        """Let the tasks finish for ``grace_s`` seconds, then cancel them."""
+        """Wait ``grace_s`` seconds for the tasks to finish, then cancel the others."""
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=grace_s)
-        left = set(self._tasks)
-        for task in left:
+        unfinished = set(self._tasks)
+        for task in unfinished:
             task.cancel()
-        await asyncio.gather(*left, return_exceptions=True)
+        await asyncio.gather(*unfinished, return_exceptions=True)
 
     def _done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
--- a/gooseberrydale/request/body.py
+++ b/gooseberrydale/request/body.py
@@ -1,7 +1,7 @@
-"""Reads and checks what a caller sends.
+"""Reads and validates the body of a caller's request.
 
-Lives for one request.  The body is bounded in size and time; one that is too large
-is refused without reading on.
+The size of the body and the time to read it are limited; a body that is too large is
+rejected without reading the rest.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 
 class _Message(msgspec.Struct):
-    """A message of a chat; other fields are the engine's to check."""
+    """A chat message; the engine validates its other fields."""
 
     role: str
     content: str | list[dict[str, Any]] | None = None
 
 
 class _Common(msgspec.Struct):
-    """Fields of both kinds of completion that the router or engines rely on."""
+    """Fields of both kinds of completion that the router or the engines use."""
 
     model: str
     stream: bool | None = None
@@ -58,7 +58,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """A completion request that was checked; ``raw`` is what it said."""
+    """A validated completion request; ``raw`` is its decoded JSON."""
 
     model: str
     stream: bool
@@ -66,25 +66,25 @@
 
     @property
     def max_new_tokens(self) -> int:
-        """How long the answer may be, 0 if the caller doesn't say."""
-        asked = self.raw.get("max_completion_tokens") or self.raw.get("max_tokens")
-        return max(0, int(asked or 0))
+        """The caller's limit for the tokens of the answer, 0 if there is none."""
+        max_tokens = self.raw.get("max_completion_tokens") or self.raw.get("max_tokens")
+        return max(0, int(max_tokens or 0))
 
     @property
     def single(self) -> bool:
-        """Whether one text alone is asked for."""
+        """Whether the answer consists of a single text."""
         prompt = self.raw.get("prompt")
         is_batch = isinstance(prompt, list) and not isinstance(prompt[0], int)
         return self.raw.get("n") in (None, 1) and not is_batch
 
     @property
     def wants_usage(self) -> bool:
-        """Whether a streamed answer ends with an event of its usage."""
+        """Whether a streamed answer ends with a usage event."""
         options = self.raw.get("stream_options") or {}
         return bool(options.get("include_usage"))
 
     def for_model(self, model: str) -> bytes:
-        """The body for an engine that knows its model as ``model``."""
+        """Return the body with ``model`` as its model, unchanged if that is empty."""
         if not model:
             return msgspec.json.encode(self.raw)
         return msgspec.json.encode({**self.raw, "model": model})
@@ -93,25 +93,25 @@
 async def read_body(
     req: Request, limit: int, timeout_s: float
 ) -> Result[bytes, Problem]:
-    """The whole body; raises ``ClientDisconnect`` if the caller goes away."""
+    """Read the whole body; raises ``ClientDisconnect`` if the caller disconnects."""
     too_large = Err(problem(BODY_TOO_LARGE, limit=limit))
     length = req.headers.get("content-length", "0")
     if length.isdigit() and int(length) > limit:
         return too_large
-    parts = bytearray()
+    data = bytearray()
     try:
         async with asyncio.timeout(timeout_s):
-            async for part in req.stream():
-                parts += part
-                if len(parts) > limit:
+            async for chunk in req.stream():
+                data += chunk
+                if len(data) > limit:
                     return too_large
     except TimeoutError:
         return Err(problem(BODY_TIMEOUT, limit_s=timeout_s))
-    return Ok(bytes(parts))
+    return Ok(bytes(data))
 
 
 def parse_completion(path: str, body: bytes) -> Result[CompletionBody, Problem]:
-    """Check the body of a completion request."""
+    """Validate the body of a completion request."""
     try:
         raw = msgspec.json.decode(body)
     except msgspec.DecodeError as exc:
@@ -119,12 +119,12 @@
     except RecursionError:
         return Err(problem(INVALID_JSON, reason="nested too deeply"))
     if not isinstance(raw, dict):
-        return Err(problem(INVALID_FIELD, reason="expected an object"))
-    shape: type[_ChatBody] | type[_TextBody] = (
+        return Err(problem(INVALID_FIELD, reason="the body must be a JSON object"))
+    schema: type[_ChatBody] | type[_TextBody] = (
         _ChatBody if path == CHAT_PATH else _TextBody
     )
     try:
-        checked: _ChatBody | _TextBody = msgspec.convert(raw, shape)
+        checked: _ChatBody | _TextBody = msgspec.convert(raw, schema)
     except msgspec.ValidationError as exc:
         return Err(problem(INVALID_FIELD, reason=str(exc)))
     empty = checked.messages if isinstance(checked, _ChatBody) else checked.prompt
--- a/gooseberrydale/request/cancel.py
+++ b/gooseberrydale/request/cancel.py
@@ -1,8 +1,8 @@
-"""Gives up one attempt at its sidecar.
+"""Cancels one attempt at its sidecar.
 
-A cancel does two things there: it stops the attempt if it runs, and makes sure that
-it is refused if it arrives later.  Only the sidecar's word that it can never start
-allows another try of a call that may not be repeated.
+A cancel stops the attempt if it runs, and makes the sidecar refuse it if it arrives
+later.  A call that is not repeatable may be tried again only after the sidecar has
+confirmed that the attempt can never start.
 """
 
 from __future__ import annotations
@@ -17,16 +17,19 @@
 from gooseberrydale.connection.messages import CancelReply, CancelReq
 from gooseberrydale.connection.rpc import CANCEL, RpcChannel
 
-TRIES = 2
+MAX_TRIES = 2
 
 
 async def cancel(
     pool: ChannelPool, sidecar: Endpoint, req: CancelReq, timeout_s: float
 ) -> CancelReply | None:
-    """Send ``req``, a second time over a new connection; None if nobody answered."""
+    """Send ``req``; if there is no reply, once more over a new connection.
+
+    Returns None if neither try got a reply.
+    """
     channel = pool.take(sidecar)
     try:
-        for _ in range(TRIES):
+        for _ in range(MAX_TRIES):
             reply = await _try(channel, req, timeout_s)
             if reply is not None:
                 return reply
@@ -40,12 +43,12 @@
     channel: RpcChannel, req: CancelReq, timeout_s: float
 ) -> CancelReply | None:
     try:
-        # The own timer also covers a connection that never opens.
+        # A timeout of the call would not cover a connection that never opens.
         async with asyncio.timeout(timeout_s):
             reply: CancelReply = await channel.call(CANCEL, req)
             return reply
     except (TimeoutError, grpc.aio.AioRpcError, CodecError) as exc:
-        logger.debug("cancel of {} failed: {!r}", req.request_id, exc)
+        logger.debug("cancel of request {} failed: {!r}", req.request_id, exc)
     except asyncio.CancelledError:
         task = asyncio.current_task()
         if task is not None and task.cancelling():
--- a/gooseberrydale/request/claim_gate.py
+++ b/gooseberrydale/request/claim_gate.py
@@ -1,8 +1,8 @@
-"""Lets an attempt of a call that may not be repeated be dispatched.
+"""Decides whether an attempt of a request may be dispatched.
 
-Lives for one request.  With an Idempotency-Key each attempt is claimed by a commit
-of control before it is dispatched, and the claim passes to another attempt only
-after the earlier one is known never to run.
+There is one gate per request.  For a call with an Idempotency-Key, each attempt must
+hold the claim on that key, committed by control, before it is dispatched.  The claim
+moves to another attempt only after the earlier attempt is known never to run.
 """
 
 from __future__ import annotations
@@ -24,16 +24,16 @@
 from gooseberrydale.errors import Problem, ProblemError
 from gooseberrydale.request.background import Background
 
-CLAIM_S = 3.0
-"""Longest wait for a claim; it covers the election of a new leader."""
+CLAIM_TIMEOUT_S = 3.0
+"""Timeout for claiming a key; long enough for the election of a new leader."""
 
-UPKEEP_S = 30.0
+BACKGROUND_TIMEOUT_S = 30.0
 
 ClaimRequest = ClaimReq | MoveReq | ReleaseReq | FinishReq
 
 
 class ClaimHeld(Exception):
-    """Another attempt holds or has finished the claim; ``record`` tells which."""
+    """Another attempt holds the claim or has finished; see ``record.state``."""
 
     def __init__(self, record: ClaimRecord) -> None:
         super().__init__(f"claim held by request {record.holder.request_id}")
@@ -41,28 +41,34 @@
 
 
 class ClaimStore(Protocol):
-    """Where claims are committed."""
+    """Commits claims by way of the control replicas."""
 
     async def ask(self, req: Any, timeout_s: float) -> Result[Any, Problem]:
-        """Commit ``req``; an error if it is not known to be committed in time."""
+        """Commit ``req``; an error if the commit is not confirmed in time."""
 
 
-class Gate(Protocol):
-    """Says whether an attempt may be dispatched."""
+class AttemptGate(Protocol):
+    """Decides whether an attempt may be dispatched."""
 
     async def admit(self, record: UpstreamRecord, attempt: int) -> None:
-        """Return if it may; raises :class:`ProblemError` or :class:`ClaimHeld`."""
+        """Return if ``attempt`` may be dispatched to the sidecar of ``record``.
+
+        Raises :class:`ProblemError` or :class:`ClaimHeld` otherwise.
+        """
 
 
 class OpenGate:
-    """Lets every attempt pass; for calls without a claim."""
+    """Admits every attempt; for calls without an Idempotency-Key."""
 
     async def admit(self, record: UpstreamRecord, attempt: int) -> None:
-        """Return at once."""
+        """Admit the attempt."""
 
 
 class ClaimGate:
-    """The claim of one request; ``holder`` is who holds it, as far as known."""
+    """Claims the Idempotency-Key of one request.
+
+    ``holder`` is the last known holder of the claim.
+    """
 
     def __init__(
         self,
@@ -82,7 +88,11 @@
         self.holder: Holder | None = None
 
     async def admit(self, record: UpstreamRecord, attempt: int) -> None:
-        """Claim for this attempt, or move the claim from a confirmed tombstone."""
+        """Claim the key for this attempt.
+
+        If ``holder`` is set, its attempt is confirmed never to run, and the claim is
+        moved from it.
+        """
         new = Holder(
             request_id=self._request_id,
             attempt=attempt,
@@ -91,12 +101,12 @@
             incarnation=record.incarnation,
             record_seq=record.seq,
         )
-        asked = await self._store.ask(self._request_for(new), CLAIM_S)
-        if isinstance(asked, Err):
-            # It may be committed all the same, but will never be dispatched.
-            self._free(new)
-            raise ProblemError(asked.err_value)
-        reply: ClaimReply = asked.ok_value
+        result = await self._store.ask(self._request_for(new), CLAIM_TIMEOUT_S)
+        if isinstance(result, Err):
+            # The claim may have been committed, but this attempt is never dispatched.
+            self._release_in_background(new)
+            raise ProblemError(result.err_value)
+        reply: ClaimReply = result.ok_value
         if reply.granted:
             self.holder = new
         elif reply.record is not None:
@@ -106,42 +116,45 @@
             raise ProblemError(reply.problem)
 
     async def look_up(self, holder: Holder) -> ClaimRecord | None:
-        """What is committed under the key; None if control can't tell now."""
+        """Return the committed record of the key; None if control does not answer."""
         req = ClaimReq(self._workspace, self._key, self._digest, holder)
-        asked = await self._store.ask(req, CLAIM_S)
-        if isinstance(asked, Err):
+        result = await self._store.ask(req, CLAIM_TIMEOUT_S)
+        if isinstance(result, Err):
             return None
-        reply: ClaimReply = asked.ok_value
+        reply: ClaimReply = result.ok_value
         return reply.record
 
     def release(self) -> None:
-        """Free the key in the background; only if the holder never ran."""
+        """Release this request's own claim in the background.
+
+        Call this only if none of its attempts ran.
+        """
         if self.holder is not None and self.holder.request_id == self._request_id:
-            self._free(self.holder)
+            self._release_in_background(self.holder)
 
     async def finish(
         self, status: int, headers: tuple[tuple[str, str], ...], body: bytes
     ) -> None:
-        """Record the answer."""
+        """Record the complete answer."""
         if self.holder is not None:
             req = FinishReq(
                 self._workspace, self._key, self.holder, status, headers, body
             )
-            await self._store.ask(req, UPKEEP_S)
+            await self._store.ask(req, BACKGROUND_TIMEOUT_S)
 
     async def finish_unknown(self) -> None:
-        """Record that the outcome is unknown for good."""
+        """Record that the outcome will remain unknown."""
         if self.holder is not None:
             req = FinishReq(
                 self._workspace, self._key, self.holder, outcome_unknown=True
             )
-            await self._store.ask(req, UPKEEP_S)
+            await self._store.ask(req, BACKGROUND_TIMEOUT_S)
 
     def _request_for(self, new: Holder) -> ClaimRequest:
         if self.holder is None:
             return ClaimReq(self._workspace, self._key, self._digest, new)
         return MoveReq(self._workspace, self._key, self.holder, new, tombstone=True)
 
-    def _free(self, holder: Holder) -> None:
+    def _release_in_background(self, holder: Holder) -> None:
         req = ReleaseReq(self._workspace, self._key, holder, tombstone=True)
-        self._background.spawn(self._store.ask(req, UPKEEP_S))
+        self._background.spawn(self._store.ask(req, BACKGROUND_TIMEOUT_S))
--- a/gooseberrydale/request/config_sync.py
+++ b/gooseberrydale/request/config_sync.py
@@ -1,8 +1,8 @@
-"""Evens out configurations between this entry and the sidecars that it works with.
+"""Exchanges newer configurations between this entry and its sidecars.
 
-Lives as long as the process.  Each answer of a sidecar tells its revision; whoever
-is behind gets the newer configuration in the background, so that a revision also
-spreads where control can't be reached.
+There is one instance per process.  Each answer of a sidecar includes its configuration
+revision.  The side with the older revision gets the newer one in the background, so
+revisions spread even while control is unreachable.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class ConfigSync:
-    """Pushes to sidecars that are behind and reads from those ahead."""
+    """Pushes to sidecars with an older revision, reads from those with a newer one."""
 
     def __init__(
         self, store: ConfigStore, pool: ChannelPool, background: Background
@@ -30,13 +30,13 @@
         self._store = store
         self._pool = pool
         self._background = background
-        self._busy: set[str] = set()
+        self._in_progress: set[str] = set()
 
     def notice(self, record: UpstreamRecord, revision: int) -> None:
-        """Take note that the sidecar of ``record`` works under ``revision``."""
-        if revision == self._store.revision or record.name in self._busy:
+        """Start an exchange if the sidecar of ``record`` reports another revision."""
+        if revision == self._store.revision or record.name in self._in_progress:
             return
-        self._busy.add(record.name)
+        self._in_progress.add(record.name)
         is_behind = revision < self._store.revision
         self._background.spawn(self._run(record, is_behind))
 
@@ -47,9 +47,9 @@
             else:
                 await self._read(record)
         except (grpc.aio.AioRpcError, CodecError) as exc:
-            logger.info("no configuration exchange with {}: {!r}", record.name, exc)
+            logger.info("configuration exchange with {} failed: {!r}", record.name, exc)
         finally:
-            self._busy.discard(record.name)
+            self._in_progress.discard(record.name)
 
     async def _push(self, record: UpstreamRecord) -> None:
         req = PushConfig(self._store.config)
--- a/gooseberrydale/request/deps.py
+++ b/gooseberrydale/request/deps.py
@@ -1,4 +1,4 @@
-"""What the process lends to each request."""
+"""The process-wide objects that requests use."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Deps:
-    """Shared parts that a request uses but does not own.
+    """Shared objects that a request uses but does not own.
 
-    While the process is fresh a request may wait a moment for records of
-    configuration and upstreams.
+    ``freshness`` says whether the process started recently: then a request may wait
+    briefly for the first configuration and upstream records.
     """
 
     cfg: EntryCfg
--- a/gooseberrydale/request/event_id.py
+++ b/gooseberrydale/request/event_id.py
@@ -1,7 +1,7 @@
 """The id of one event of a streamed answer.
 
-It names sidecar, incarnation, request and offset, so that any entry can attach to
-the running stream after the event without having seen the stream before.
+It names the sidecar, its incarnation, the request and the offset, so any entry can
+attach to the stream after that event, even if it did not serve the stream before.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 
 from gooseberrydale.errors import INVALID_FIELD, Problem, problem
 
-PARTS = 4
+FIELD_COUNT = 4
 
 
 @dataclass(frozen=True, slots=True)
 class EventId:
-    """Where an event came from; ``offset`` counts the answer's events from 0."""
+    """The origin of an event; ``offset`` counts the answer's events from 0."""
 
     upstream: str
     incarnation: str
@@ -29,11 +29,13 @@
 
 
 def parse_event_id(text: str) -> Result[EventId, Problem]:
-    """Read a Last-Event-ID header."""
-    parts = text.strip().rsplit("/", PARTS - 1)
-    if len(parts) != PARTS or not all(parts) or not _is_count(parts[-1]):
-        return Err(problem(INVALID_FIELD, reason="Last-Event-ID is no event's id"))
-    upstream, incarnation, request_id, offset = parts
+    """Parse the value of a Last-Event-ID header."""
+    fields = text.strip().rsplit("/", FIELD_COUNT - 1)
+    if len(fields) != FIELD_COUNT or not all(fields) or not _is_count(fields[-1]):
+        return Err(
+            problem(INVALID_FIELD, reason="Last-Event-ID is not the id of an event")
+        )
+    upstream, incarnation, request_id, offset = fields
     return Ok(EventId(upstream, incarnation, request_id, int(offset)))
 
 
--- a/gooseberrydale/request/exchange.py
+++ b/gooseberrydale/request/exchange.py
@@ -1,8 +1,8 @@
-"""One attempt of a request on one sidecar, as a sequence of frames.
+"""Reads one attempt of a request from one sidecar as a sequence of frames.
 
-Lives for one attempt and owns its call.  It tells a call that broke from one that
-fell silent; what follows is decided elsewhere.  It can be attached again, over a new
-connection, to the same attempt.
+An exchange belongs to one attempt and owns its call.  It distinguishes a call that
+failed from one on which no frame arrives; the caller decides how to proceed.  It can
+attach to the same attempt again over a new connection.
 """
 
 from __future__ import annotations
@@ -25,15 +25,15 @@
 from gooseberrydale.request.retry import Cause
 from gooseberrydale.request.silence_limit import SilenceLimit
 
-ATTACHES_AT_ONE_OFFSET = 3
+MAX_ATTACHES_PER_OFFSET = 3
 LATEST_ATTEMPT = -1
 
 
 class ExchangeLost(Exception):
-    """No more frames will come by this call; ``cause`` says why.
+    """No more frames will arrive on this call, for the reason ``cause``.
 
-    ``replaced`` is True if the sidecar ended the call properly before the answer:
-    a newer reader took over.
+    ``replaced`` is True if the sidecar closed the call normally before the end of the
+    answer, which means that a newer reader took over.
     """
 
     def __init__(self, cause: Cause, reason: str, *, replaced: bool = False) -> None:
@@ -43,13 +43,13 @@
 
 
 class DeadlinePassed(Exception):
-    """The caller's deadline passed while the request waited."""
+    """The deadline of the request passed while it waited for a frame."""
 
 
 class Exchange:
-    """Reads the frames of one attempt; ``dispatch`` or ``attach`` it first.
+    """Reads the frames of one attempt; call ``dispatch`` or ``attach`` first.
 
-    ``attempt`` is ``LATEST_ATTEMPT`` if the number is not known.
+    ``attempt`` is ``LATEST_ATTEMPT`` if the number of the attempt is not known.
     """
 
     def __init__(
@@ -69,9 +69,9 @@
         self._silence_s = silence_s
         self._channel: RpcChannel | None = None
         self._call: Any = None
-        self._heard = False
-        self._attached_at = -1
-        self._attaches = 0
+        self._received_frame = False
+        self._attach_offset = -1
+        self._attach_count = 0
 
     @property
     def sent(self) -> bool:
@@ -79,22 +79,31 @@
         return self._call is not None
 
     @property
-    def attach_tried(self) -> bool:
-        """Whether attaching was tried in vain since the last frame."""
-        if self._attaches == 0:
+    def attach_exhausted(self) -> bool:
+        """Whether attaching again at the same offset is useless.
+
+        This is so if no frame arrived since the last attach, or if the limit of
+        attaches at one offset is reached.
+        """
+        if self._attach_count == 0:
             return False
-        return not self._heard or self._attaches >= ATTACHES_AT_ONE_OFFSET
+        return not self._received_frame or self._attach_count >= MAX_ATTACHES_PER_OFFSET
+
+    async def dispatch(self, req: DispatchReq, deadline: float | None) -> None:
+        """Send the attempt to the sidecar.
 
-    async def dispatch(self, req: DispatchReq, until: float | None) -> None:
-        """Send the attempt; if no connection stands it is known not to be sent."""
+        Without a connection nothing is sent, and ``ExchangeLost`` says ``NOT_SENT``.
+        """
         self._channel = self._pool.take(self.sidecar)
-        await self._connect(self._channel, until)
+        await self._connect(self._channel, deadline)
         self._start(self._channel, DISPATCH, req)
 
     def attach(self, offset: int) -> None:
-        """Ask for the events from ``offset`` on over a new connection."""
-        self._attaches = self._attaches + 1 if offset == self._attached_at else 1
-        self._attached_at = offset
+        """Request the events from ``offset`` on over a new connection."""
+        self._attach_count = (
+            self._attach_count + 1 if offset == self._attach_offset else 1
+        )
+        self._attach_offset = offset
         if self._call is not None:
             self._call.cancel()
         if self._channel is None:
@@ -110,17 +119,19 @@
         )
         self._start(self._channel, ATTACH, req)
 
-    async def next(self, until: float | None) -> Frame:
-        """The next frame of this request; ``until`` is in loop time.
+    async def next(self, deadline: float | None) -> Frame:
+        """Return the next frame; ``deadline`` is in loop time, None for none.
 
         Raises :class:`ExchangeLost` or :class:`DeadlinePassed`.
         """
         try:
-            async with SilenceLimit(self._silence_s, until):
+            async with SilenceLimit(self._silence_s, deadline):
                 frame = await self._call.read()
         except TimeoutError:
-            _check_deadline(until)
-            raise ExchangeLost(Cause.SILENT, "no frame came") from None
+            _check_deadline(deadline)
+            raise ExchangeLost(
+                Cause.SILENT, "no frame arrived within the silence limit"
+            ) from None
         except grpc.aio.AioRpcError as exc:
             reason = f"{exc.code().name}: {exc.details()}"
             raise ExchangeLost(Cause.LOST, reason) from exc
@@ -132,12 +143,12 @@
             raise ExchangeLost(Cause.LOST, "the channel was closed") from None
         if frame is grpc.aio.EOF:
             raise ExchangeLost(Cause.LOST, "a newer reader took over", replaced=True)
-        # A refusal to attach is not a sign of the attempt.
-        self._heard = self._heard or not isinstance(frame, Refused)
+        # A refused attach does not prove that the attempt still runs.
+        self._received_frame = self._received_frame or not isinstance(frame, Refused)
         return frame  # type: ignore[no-any-return]
 
     def is_current(self, frame: Frame) -> bool:
-        """Whether ``frame`` is from the incarnation of the sidecar that was asked."""
+        """Whether ``frame`` is of this request and of the expected incarnation."""
         if frame.request_id != self._request_id:
             return False
         if isinstance(frame, Heartbeat):
@@ -145,36 +156,36 @@
         return frame.incarnation == self.sidecar.incarnation
 
     def stop(self) -> None:
-        """Drop the call; the sidecar goes on until it is told to cancel."""
+        """Close the call; the attempt continues until it is cancelled."""
         if self._call is not None:
             self._call.cancel()
         if self._channel is not None:
             self._pool.give_back(self._channel)
             self._channel = None
 
-    async def _connect(self, channel: RpcChannel, until: float | None) -> None:
+    async def _connect(self, channel: RpcChannel, deadline: float | None) -> None:
         try:
-            async with SilenceLimit(self._silence_s, until):
+            async with SilenceLimit(self._silence_s, deadline):
                 if await channel.connect():
                     return
         except TimeoutError:
-            _check_deadline(until)
+            _check_deadline(deadline)
         self._channel = self._pool.replace(self.sidecar, channel)
         raise ExchangeLost(Cause.NOT_SENT, "no connection to the sidecar")
 
     def _start(
         self, channel: RpcChannel, method: Method, req: DispatchReq | AttachReq
     ) -> None:
-        self._heard = False
+        self._received_frame = False
         self._call = channel.call(method, req)
 
 
-def _check_deadline(until: float | None) -> None:
-    if until is not None and asyncio.get_running_loop().time() >= until:
+def _check_deadline(deadline: float | None) -> None:
+    if deadline is not None and asyncio.get_running_loop().time() >= deadline:
         raise DeadlinePassed from None
 
 
 def _is_cancelled() -> bool:
-    """Whether the own task is cancelled, not only the call."""
+    """Whether the current task is being cancelled, and not only its call."""
     task = asyncio.current_task()
     return task is not None and task.cancelling() > 0
--- a/gooseberrydale/request/fair_queue.py
+++ b/gooseberrydale/request/fair_queue.py
@@ -1,9 +1,10 @@
-"""Queue of waiting work: by priority, then fair between workspaces.
+"""Queue of waiting work, ordered by priority, then fairly between workspaces.
 
-Start-time fair queueing: work gets a start tag, the greater of the virtual time and
-its workspace's last finish tag; the least tag goes first, and the finish tag lies
-``tokens / share`` behind it.  Virtual time is the start tag of the work that started
-last.  Each priority has its own virtual time.  Pure; part of a sidecar's gate.
+Start-time fair queueing: the start tag of work is the virtual time or the last finish
+tag of its workspace, whichever is greater.  The work with the lowest start tag starts
+first.  Its finish tag is its start tag plus ``tokens / share``.  The virtual time is
+the start tag of the work that started last; each priority has its own virtual time.
+Pure; used by a sidecar's gate.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One attempt that wants to start.
+    """One attempt that waits to start.
 
-    ``tokens`` estimates its uncached prompt, ``deadline_s`` is the time left to its
-    first token in seconds, ``share`` the weight of its workspace.  ``id`` is unique
-    for each attempt.
+    ``tokens`` is the estimated uncached part of its prompt, ``deadline_s`` the time
+    left until its first token is due, ``share`` the weight of its workspace.  ``id``
+    is unique for each attempt.
     """
 
     id: str
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """Queued work with its place: ``rank`` sorts, the least starts first."""
+    """Queued work; the work with the lowest ``rank`` starts first."""
 
     work: Work
     offered_at: float
@@ -42,7 +43,7 @@
 
 @dataclass(slots=True)
 class _Tags:
-    """Virtual time of one priority and the last finish tag of each workspace."""
+    """Virtual time of one priority, and the last finish tag of each workspace."""
 
     virtual: float = 0.0
     finish: dict[str, float] = field(default_factory=dict)
@@ -56,7 +57,7 @@
 
 
 class FairQueue:
-    """Waiting work of one upstream; the caller bounds its length."""
+    """The waiting work of one upstream.  The caller limits its length."""
 
     def __init__(self) -> None:
         self._items: dict[str, Waiting] = {}
@@ -70,7 +71,7 @@
         return work_id in self._items
 
     def items(self) -> list[Waiting]:
-        """Return all waiting work, in no order."""
+        """Return all waiting work in no particular order."""
         return list(self._items.values())
 
     def tokens(self) -> int:
@@ -78,7 +79,7 @@
         return sum(waiting.work.tokens for waiting in self._items.values())
 
     def push(self, work: Work, now: float) -> None:
-        """Add work at its fair place."""
+        """Add work at its rank."""
         tags = self._tags_of(work)
         start = tags.start_tag(work.workspace)
         tags.finish[work.workspace] = start + _cost(work)
@@ -87,7 +88,7 @@
         self._items[work.id] = Waiting(work, now, rank)
 
     def pop(self) -> Waiting | None:
-        """Take out the work that goes first; None if none waits."""
+        """Remove and return the work with the lowest rank; None if there is none."""
         if not self._items:
             return None
         first = min(self._items.values(), key=_rank)
@@ -98,20 +99,20 @@
         return first
 
     def remove(self, work_id: str) -> Waiting | None:
-        """Take out one work; its workspace gets the tokens back."""
-        gone = self._items.pop(work_id, None)
-        if gone is not None:
-            self._refund(gone)
-        return gone
+        """Remove and return the given work, and refund its cost to its workspace."""
+        removed = self._items.pop(work_id, None)
+        if removed is not None:
+            self._refund(removed)
+        return removed
 
     def ahead_of(self, work: Work) -> tuple[int, int]:
-        """Return tokens and count of the work that would start before ``work``."""
+        """Return the tokens and the count of the work that starts before ``work``."""
         rank = self._rank_of(work)
         ahead = [w.work.tokens for w in self._items.values() if w.rank < rank]
         return sum(ahead), len(ahead)
 
     def worse_than(self, work: Work) -> Waiting | None:
-        """Return the work that goes last if ``work`` would go before it."""
+        """Return the work that starts last; None if ``work`` would start after it."""
         if not self._items:
             return None
         last = max(self._items.values(), key=_rank)
@@ -124,11 +125,11 @@
     def _tags_of(self, work: Work) -> _Tags:
         return self._tags.setdefault(work.priority, _Tags())
 
-    def _refund(self, gone: Waiting) -> None:
-        tags = self._tags_of(gone.work)
-        workspace = gone.work.workspace
+    def _refund(self, removed: Waiting) -> None:
+        tags = self._tags_of(removed.work)
+        workspace = removed.work.workspace
         if workspace in tags.finish:
-            tags.finish[workspace] -= _cost(gone.work)
+            tags.finish[workspace] -= _cost(removed.work)
 
 
 def _cost(work: Work) -> float:
--- a/gooseberrydale/request/fingerprint.py
+++ b/gooseberrydale/request/fingerprint.py
@@ -1,7 +1,7 @@
-"""Names a request by what it asks for, the same for each repeat of it.  Pure.
+"""Computes a request's fingerprint, which is equal for all repeats of the request.
 
-Each repeat of a request has an id of its own and may come to any process.  What stays
-the same is who asks, for what, with which body.
+Pure.  Each repeat has another request id and may reach another process.  Only the
+workspace, method, host, target and body stay the same, so these are hashed.
 """
 
 from __future__ import annotations
@@ -10,38 +10,41 @@
 from typing import Protocol
 
 SIZE_BYTES = 16
-SHOWN_DIGITS = 12
-"""Hexadecimal digits of a fingerprint in log lines: no two requests of a day share
-them by chance."""
+LOG_DIGITS = 12
+"""Hexadecimal digits of a fingerprint in log lines; enough to avoid collisions among
+the requests of a day."""
 
 
 class Hash(Protocol):
-    """What is needed of one of the hashes of :mod:`hashlib`."""
+    """A hash object of :mod:`hashlib`."""
 
     def update(self, data: bytes, /) -> None:
-        """Take further bytes in."""
+        """Add bytes to the hash."""
 
 
-def feed(into: Hash, *parts: bytes) -> None:
-    """Hash ``parts`` so that no other split of the same bytes is the same."""
+def feed(into_hash: Hash, *parts: bytes) -> None:
+    """Add ``parts`` to the hash, each with its length.
+
+    Without the lengths, another split of the same bytes would have the same hash.
+    """
     for part in parts:
-        into.update(len(part).to_bytes(4, "big"))
-        into.update(part)
+        into_hash.update(len(part).to_bytes(4, "big"))
+        into_hash.update(part)
 
 
 def fingerprint(
     workspace: str, method: str, host: str, target: str, body: bytes
 ) -> bytes:
-    """The name of a request; ``workspace`` is empty if the caller needs none."""
-    found = hashlib.blake2b(digest_size=SIZE_BYTES)
+    """Hash a request; ``workspace`` is empty if the caller needs none."""
+    digest = hashlib.blake2b(digest_size=SIZE_BYTES)
     texts = (workspace, method, host, target)
-    feed(found, *(text.encode("utf-8", "surrogateescape") for text in texts), body)
-    return found.digest()
+    feed(digest, *(text.encode("utf-8", "surrogateescape") for text in texts), body)
+    return digest.digest()
 
 
 def shown(request: bytes) -> str:
-    """A fingerprint as log lines, messages and commands have it.
+    """Format a fingerprint for log lines, messages and commands.
 
-    The letters in front keep command lines from reading it as a number.
+    The prefix keeps command lines from parsing it as a number.
     """
-    return f"req-{request.hex()[:SHOWN_DIGITS]}" if request else ""
+    return f"req-{request.hex()[:LOG_DIGITS]}" if request else ""
--- a/gooseberrydale/request/gateway_call.py
+++ b/gooseberrydale/request/gateway_call.py
@@ -1,7 +1,7 @@
-"""A request that is forwarded by a declared route, and what an upstream answers.
+"""The data types of a request that a gateway forwards, and of the upstream's answer.
 
-Each lives for one request.  The headers that carry these facts are up to the
-deployment; a :class:`Wire` reads and writes them.
+The objects belong to one request.  Which headers carry their fields depends on the
+deployment; a :class:`HeaderCodec` reads and writes those headers.
 """
 
 from __future__ import annotations
@@ -18,7 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share; parts nest in order."""
+    """A section of a prompt that other requests may share.
+
+    ``key`` identifies the prompt from its beginning to the end of this section.
+    """
 
     key: str
     tokens: int
@@ -26,10 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a model is asked: ``tokens`` in all, at most ``max_new_tokens`` back.
+    """The prompt for a model: its size, its sections and the limit of the answer.
 
-    The last part belongs to this request alone.  ``usage`` is what the caller says that
-    it uses in all, None if it doesn't say so in two numbers.
+    ``tokens`` is the size of the whole prompt; the answer has at most
+    ``max_new_tokens``.  The last of ``parts`` is used by this request alone.  ``usage``
+    is the total that the caller declares in two numbers, None if it does not.
     """
 
     model: str
@@ -40,17 +44,17 @@
 
     @property
     def shared(self) -> tuple[PromptPart, ...]:
-        """The parts that other requests may bring as well."""
+        """The parts that other requests may have in common with this one."""
         return self.parts[:-1]
 
 
 @dataclass(frozen=True, slots=True)
 class CallerCall:
-    """A caller's request as its head tells it.
+    """A caller's request, as read from its request line and headers.
 
-    ``headers`` are those that go to the upstream as they came.  ``wait_s`` is how long
-    the caller will wait, None if it does not say.  ``last_event_id`` is set if the
-    caller goes on with a stream.
+    ``headers`` are forwarded to the upstream unchanged.  ``wait_s`` is how long the
+    caller will wait, None if it does not say.  ``last_event_id`` is set if the caller
+    continues a stream after that event.
     """
 
     request_id: str
@@ -73,11 +77,11 @@
 class Terms:
     """What the router adds to one send of a request.
 
-    Only the upstream's incarnation ``instance`` may run it, within ``left_s`` seconds,
-    for ``workspace``.  For a model: only under ``weights_version``, and cached parts
-    are found under ``cache_salt`` alone.  ``last_event_id`` is that of the last event
-    which the caller has.  The engine brings what it lacks of the prompt from
-    ``fetch_from``, and puts what it computes into ``save_to``.
+    Only the upstream incarnation ``instance`` may run the request, within ``left_s``
+    seconds, on behalf of ``workspace``.  A model must have ``weights_version`` loaded;
+    its cached prefixes are looked up under ``cache_salt`` only.  ``last_event_id``
+    names the last event that the caller has.  The engine fetches missing prefixes from
+    ``fetch_from`` and saves computed ones to ``save_to``.
     """
 
     instance: str
@@ -93,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportedLoad:
-    """What an upstream tells of itself with an answer."""
+    """The load that an upstream reports with an answer."""
 
     running: int
     waiting: int
@@ -102,15 +106,15 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """The head of an upstream's answer.
-
-    ``not_run`` is True if the upstream states that it did not run the request.
-    ``instance`` is the incarnation of an upstream that says so, if it tells.  Without
-    ``signed`` the answer is not the upstream's own.  ``headers`` go to the caller.
-    ``limit_per_s`` is the rate of requests that the upstream takes from all gateways
-    together, None if it names none.  ``retry_after_s`` is for how long it wants none
-    from this gateway, None if it doesn't say so; ``leaving`` that it takes no new ones,
-    as it will end.
+    """The status and headers of an upstream's answer.
+
+    ``not_run`` is True if the upstream states that it did not run the request;
+    ``instance`` is the incarnation that states it, if named.  If ``signed`` is False,
+    the answer does not come from the upstream itself.  ``headers`` are for the caller.
+    ``limit_per_s`` is the request rate that the upstream accepts from all gateways
+    together, None if it names none.  ``retry_after_s`` is how long this gateway must
+    not send to it, None if not stated.  ``leaving`` means that the upstream will shut
+    down and accepts no new requests.
     """
 
     status: int
@@ -127,20 +131,20 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the upstream answers with success."""
+        """Whether the status means success."""
         return 200 <= self.status < 300
 
 
 class Wire(Protocol):
-    """Reads callers' heads and upstreams' answers, and writes requests' headers."""
+    """Translates between the headers of a deployment and the types of this module."""
 
     def read_call(
         self, method: str, target: bytes, headers: RawHeaders
     ) -> Result[CallerCall, Problem]:
-        """The request, or why its head does not fit."""
+        """Read a caller's request; returns an error if its head is invalid."""
 
     def request_headers(self, call: CallerCall, terms: Terms) -> RawHeaders:
-        """All headers of one send, except those of its framing."""
+        """Return all headers of one send, except those of the message framing."""
 
     def read_answer(self, status: int, headers: RawHeaders) -> AnswerHead:
-        """The head of an answer."""
+        """Read the head of an upstream's answer."""
--- a/gooseberrydale/request/job.py
+++ b/gooseberrydale/request/job.py
@@ -1,7 +1,4 @@
-"""What one caller asks for, and the parts of the answer on the way back.
-
-Lives for one request.
-"""
+"""A checked request of a caller, and the parts of the answer to it."""
 
 from __future__ import annotations
 
@@ -18,11 +15,11 @@
 
 @dataclass(frozen=True)
 class Job:
-    """An authenticated and checked request.
+    """An authenticated and validated request.
 
-    ``single`` says that the answer is one text and no more, so that another upstream
-    can go on with it.  At most ``max_new_tokens`` are asked for, 0 if it doesn't say.
-    ``wants_usage`` asks for an event after the text's last one.
+    ``single`` says that the answer is a single text, which another upstream can
+    continue.  ``max_new_tokens`` limits the answer; 0 means that the caller set no
+    limit.  ``wants_usage`` asks for a usage event after the last event of the text.
     """
 
     request_id: str
@@ -41,22 +38,22 @@
 
     @property
     def is_completion(self) -> bool:
-        """Whether a model engine answers it."""
+        """Whether the request is a completion, answered by a model engine."""
         return self.profile.kind is ProfileKind.COMPLETION
 
     @cached_property
     def fingerprint(self) -> bytes:
-        """What names the request, the same for each repeat of it."""
+        """Hash of the request's content, equal for each repeat of the request."""
         profile = self.profile.name
         return fingerprint(self.workspace, self.method, profile, self.path, self.body)
 
 
 @dataclass(frozen=True, slots=True)
 class Head:
-    """Status and headers of the answer; comes before any part of it.
+    """Status and headers of the answer; the first part of it.
 
-    ``streamed`` says whether events follow one by one; if not, the body follows
-    as a single one.
+    If ``streamed``, the events of a stream follow; if not, the body follows as a single
+    event.
     """
 
     status: int
@@ -66,9 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Events:
-    """Parts of the answer in order; the first one has offset ``offset``.
+    """Consecutive events of the answer; the first one has offset ``offset``.
 
-    ``upstream`` and ``incarnation`` name the sidecar that keeps them.
+    ``upstream`` and ``incarnation`` name the sidecar that sent and retains them.
     """
 
     upstream: str
@@ -81,17 +78,17 @@
 
 
 class ReaderReplaced(ProblemError):
-    """A newer reader of the same answer took over; the answer goes on there."""
+    """A newer reader of the same answer took over and receives the rest of it."""
 
     def __init__(self) -> None:
         super().__init__(problem(STREAM_TAKEN_OVER, not_run=False))
 
 
 class Answering(Protocol):
-    """What produces the parts of an answer."""
+    """Produces the parts of an answer."""
 
     def answer(self) -> AsyncGenerator[Part, None]:
-        """Parts of the answer; an end without an error means that it is whole."""
+        """Yield the parts; a return without an error means that they are complete."""
 
     def hand_over(self) -> None:
-        """Leave the answer running at its sidecar when ``answer`` is closed."""
+        """Let the sidecar keep running the attempt after ``answer`` is closed."""
--- a/gooseberrydale/request/keyed.py
+++ b/gooseberrydale/request/keyed.py
@@ -1,8 +1,8 @@
-"""A call with an Idempotency-Key: runs once, however often it is sent.
+"""Answers a call with an Idempotency-Key, which runs at most once.
 
-Lives for one request.  A resend gets the recorded answer, joins the running call,
-or is told that the outcome is unknown.  The work goes on when the caller goes away,
-so that its answer is recorded for the resend.
+There is one object per request.  A resend under the same key gets the recorded answer,
+attaches to the running attempt, or gets an error that the outcome is unknown.  The work
+continues after the caller disconnects, to record the answer for a resend.
 """
 
 from __future__ import annotations
@@ -47,14 +47,14 @@
 from gooseberrydale.request.runner import Runner
 
 MAX_HOLDERS_FOLLOWED = 4
-JOIN_TRIES = 2
+MAX_JOIN_FAILURES = 2
 POLL_PAUSES_S = (0.05, 0.1, 0.2, 0.4)
-RECORD_WAIT_S = 1.0
-COME_BACK_S = 1.0
+RECORD_TIMEOUT_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
 class KeyedAnswer:
-    """Runs ``job`` under its key; use ``answer`` once."""
+    """Runs ``job`` under its Idempotency-Key.  Call ``answer`` once."""
 
     def __init__(self, deps: Deps, job: Job, claims: ClaimStore) -> None:
         self._deps = deps
@@ -67,18 +67,18 @@
             job.idempotency_key,
             body_digest(job),
         )
-        self._out: asyncio.Queue[Part | Problem | None] = asyncio.Queue()
-        self._given = False
-        self._until = self._now() + job.profile.deadline_s
+        self._output: asyncio.Queue[Part | Problem | None] = asyncio.Queue()
+        self._relayed = False
+        self._deadline = self._now() + job.profile.deadline_s
 
     def hand_over(self) -> None:
-        """Do nothing: the work goes on without the caller in any case."""
+        """Do nothing: the work always continues without the caller."""
 
     async def answer(self) -> AsyncGenerator[Part, None]:
-        """Parts of the answer; raises :class:`ProblemError`."""
+        """Yield the parts of the answer; raises :class:`ProblemError`."""
         self._deps.background.spawn(self._work())
         while True:
-            item = await self._out.get()
+            item = await self._output.get()
             if item is None:
                 return
             if isinstance(item, Problem):
@@ -87,16 +87,16 @@
 
     async def _work(self) -> None:
         try:
-            await self._run_or_follow()
+            await self._run_or_join()
         except ProblemError as exc:
-            self._out.put_nowait(exc.problem)
+            self._output.put_nowait(exc.problem)
         except BaseException:
-            self._out.put_nowait(problem(INTERNAL, not_run=None))
+            self._output.put_nowait(problem(INTERNAL, not_run=None))
             raise
         else:
-            self._out.put_nowait(None)
+            self._output.put_nowait(None)
 
-    async def _run_or_follow(self) -> None:
+    async def _run_or_join(self) -> None:
         for _ in range(MAX_HOLDERS_FOLLOWED):
             try:
                 await self._run()
@@ -106,21 +106,21 @@
                     return
                 holder = held.record.holder
             except ReaderReplaced:
-                if self._given or self._gate.holder is None:
+                if self._relayed or self._gate.holder is None:
                     raise
                 holder = self._gate.holder
-            never_ran = await self._follow(holder)
-            if never_ran is None:
+            tombstoned = await self._await_other_attempt(holder)
+            if tombstoned is None:
                 return
-            # The next try moves the claim from it.
-            self._gate.holder = never_ran
-        raise ProblemError(problem(CLAIM_UNAVAILABLE, retry_after_s=COME_BACK_S))
+            # The next round moves the claim from this holder to a new attempt.
+            self._gate.holder = tombstoned
+        raise ProblemError(problem(CLAIM_UNAVAILABLE, retry_after_s=RETRY_AFTER_S))
 
     async def _run(self) -> None:
         runner = Runner(self._deps, self._job, self._gate)
         runner.hand_over()
         try:
-            await self._give(runner)
+            await self._relay(runner)
         except ProblemError as exc:
             if exc.problem.not_run is True:
                 self._gate.release()
@@ -128,14 +128,15 @@
                 self._deps.background.spawn(self._gate.finish_unknown())
             raise
 
-    async def _follow(self, holder: Holder) -> Holder | None:
-        """Answer from another attempt; return it if it is confirmed never to run.
+    async def _await_other_attempt(self, holder: Holder) -> Holder | None:
+        """Answer from another request's attempt.
 
-        An answer has one reader at a time, the newest.  Whoever reads it to its end
-        records it, and the others find the record.
+        Returns the holder if its attempt is confirmed never to run, else None.  Only
+        the newest reader of an answer receives it; that reader records the complete
+        answer, and the others poll for the record.
         """
         failures = 0
-        while failures < JOIN_TRIES and self._now() < self._until:
+        while failures < MAX_JOIN_FAILURES and self._now() < self._deadline:
             record = await self._poll(holder)
             if record is not None:
                 if self._replay_if_final(record):
@@ -145,7 +146,7 @@
                 await self._join(holder)
                 return None
             except ProblemError as exc:
-                if self._given:
+                if self._relayed:
                     raise
                 failures += not isinstance(exc, ReaderReplaced)
                 logger.info("no join of {}: {}", holder.request_id, exc)
@@ -154,7 +155,7 @@
         raise ProblemError(problem(OUTCOME_UNKNOWN, not_run=None))
 
     async def _poll(self, holder: Holder) -> ClaimRecord | None:
-        """Wait a moment for the claim to change; return what is committed then."""
+        """Wait briefly for the claim to change; return its committed record."""
         record: ClaimRecord | None = None
         for pause_s in POLL_PAUSES_S:
             await asyncio.sleep(pause_s)
@@ -164,7 +165,7 @@
         return record
 
     async def _join(self, holder: Holder) -> None:
-        """Attach to the running attempt; raises :class:`ProblemError` if in vain."""
+        """Attach to the running attempt; raises :class:`ProblemError` if that fails."""
         target = AttachTarget(
             endpoint=holder,
             upstream=holder.sidecar,
@@ -178,34 +179,37 @@
         attached = AttachedAnswer(self._deps, target)
         attached.hand_over()
         self._gate.holder = holder
-        await self._give(attached)
+        await self._relay(attached)
 
-    async def _give(self, source: Answering) -> None:
-        """Pass the answer on, and record it when it is whole."""
+    async def _relay(self, source: Answering) -> None:
+        """Relay the answer, and record it once it is complete.
+
+        The body of an unstreamed answer is relayed only after it is recorded.
+        """
         recorder = Recorder()
-        last: list[Events] = []
+        held_back: list[Events] = []
         async with contextlib.aclosing(source.answer()) as parts:
             async for part in parts:
                 recorder.add(part)
                 if isinstance(part, Events) and not recorder.is_streamed:
-                    last.append(part)
+                    held_back.append(part)
                 else:
                     self._put(part)
         await self._record(recorder)
-        for part in last:
+        for part in held_back:
             self._put(part)
 
     def _put(self, part: Part) -> None:
-        self._given = True
-        self._out.put_nowait(part)
+        self._relayed = True
+        self._output.put_nowait(part)
 
     async def _record(self, recorder: Recorder) -> None:
-        """Record the answer; a slow commit goes on without holding the caller."""
+        """Record the answer; a slow commit continues in the background."""
         work = self._gate.finish(recorder.status, recorder.headers, recorder.body)
-        await self._deps.background.run_at_most(work, RECORD_WAIT_S)
+        await self._deps.background.run_at_most(work, RECORD_TIMEOUT_S)
 
     def _replay_if_final(self, record: ClaimRecord) -> bool:
-        """Give the recorded answer; False while the call runs."""
+        """Return the recorded outcome to the caller; False while the call runs."""
         if not _is_final(record):
             return False
         if record.state is ClaimState.OUTCOME_UNKNOWN:
@@ -239,7 +243,7 @@
 
 
 def body_digest(job: Job) -> bytes:
-    """Digest of what the caller asked for; the same key must bring the same one."""
+    """Return a digest of the call; all calls under one key must have the same."""
     digest = hashlib.sha256()
     texts = (job.profile.name, job.method, job.path)
     feed(digest, *(text.encode() for text in texts))
--- a/gooseberrydale/request/members.py
+++ b/gooseberrydale/request/members.py
@@ -1,8 +1,9 @@
-"""Upstreams that may serve one profile's pool, prepared for choosing.
+"""The upstreams that may serve a profile, indexed for routing.
 
-Records renew all the time, while names seldom change.  So the records are replaced
-with each new snapshot, but rendezvous homes are computed once per prefix and kept
-until a name comes or goes.  Pure; a part of the router's state.
+Records are renewed all the time, while the set of names seldom changes.  So the records
+are replaced with each new snapshot, while the preferred upstreams of a prefix, found by
+rendezvous hashing, are cached until a name is added or removed.  Pure; part of the
+router's state.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
 
 class Members:
-    """Eligible upstreams of one pool and model, and the homes of prefixes there."""
+    """Eligible upstreams of one pool and model, and their ranks for prefixes."""
 
     def __init__(self, pool: str, model: str) -> None:
         self._pool = pool
@@ -36,7 +37,7 @@
         self.names: list[str] = []
 
     def refresh(self, upstreams: Sequence[UpstreamRecord]) -> None:
-        """Take the newest records; costs nothing for the tuple of last time."""
+        """Take the newest records; returns at once if the tuple is the same object."""
         if upstreams is self._source:
             return
         source = tuple(upstreams)
@@ -45,7 +46,10 @@
         self._source = source
 
     def _renew(self, source: tuple[UpstreamRecord, ...]) -> bool:
-        """Replace single records; False if more than records has changed."""
+        """Replace changed records.
+
+        Returns False if the set of names or the eligibility of a record changed.
+        """
         if len(source) != len(self._source):
             return False
         changed = compress(source, map(is_not, source, self._source))
@@ -68,28 +72,28 @@
             self._homes.clear()
 
     def first_among(self, names: Sequence[str], prefix: bytes) -> str:
-        """Return the one of ``names`` with the highest weight for ``prefix``."""
+        """Return the name with the highest rendezvous weight for ``prefix``."""
         key = _digest(prefix)
         digests = self._digests
         return max(names, key=lambda name: ((digests[name] ^ key) * _MIX) & _MASK)
 
     def homes(self, prefix: bytes) -> tuple[str, ...]:
         """Return the names with the highest rendezvous weights, highest first."""
-        found = self._homes.get(prefix)
-        if found is not None:
+        names = self._homes.get(prefix)
+        if names is not None:
             self._homes.move_to_end(prefix)
-            return found
-        found = self._rank(prefix)
-        self._homes[prefix] = found
+            return names
+        names = self._rank(prefix)
+        self._homes[prefix] = names
         if len(self._homes) > KEPT_PREFIXES:
             self._homes.popitem(last=False)
-        return found
+        return names
 
     def _rank(self, prefix: bytes) -> tuple[str, ...]:
-        # Weights are uniform, so few members lie above this floor; it only saves
-        # time, and the seldom case of too few above it is ranked in full.
-        few = FLOOR_FACTOR * RANKED_HOMES / max(1, len(self._digests))
-        ranked = self._rank_above(prefix, int(_MASK * max(0.0, 1.0 - few)))
+        # Weights are uniform, so only few members are above this floor, which saves
+        # sorting the others.  If there are too few, all members are ranked.
+        top_fraction = FLOOR_FACTOR * RANKED_HOMES / max(1, len(self._digests))
+        ranked = self._rank_above(prefix, int(_MASK * max(0.0, 1.0 - top_fraction)))
         if len(ranked) < min(RANKED_HOMES, len(self._digests)):
             ranked = self._rank_above(prefix, 0)
         return ranked
@@ -111,13 +115,13 @@
 
 
 class MembersByProfile:
-    """One :class:`Members` for each pool and model that profiles name."""
+    """The :class:`Members` of each pool and model that a profile names."""
 
     def __init__(self) -> None:
         self._members: dict[tuple[str, str], Members] = {}
 
     def get(self, profile: Profile, upstreams: Sequence[UpstreamRecord]) -> Members:
-        """Return the members that may serve ``profile``, up to date."""
+        """Return the members for ``profile``, refreshed from ``upstreams``."""
         key = (profile.pool, profile.model)
         members = self._members.get(key)
         if members is None:
--- a/gooseberrydale/request/parts.py
+++ b/gooseberrydale/request/parts.py
@@ -1,7 +1,8 @@
-"""Makes the parts that go to the caller out of the ordered events of an answer.
+"""Builds the parts of an answer for the caller from the ordered events.
 
-Lives for one request, over all its attempts.  A stream's events pass on at once; any
-other answer is held until it is whole, so that until then it can start anew.
+There is one builder per request, used by all its attempts.  Events of a stream are
+delivered at once.  Any other answer is buffered until it is complete, so another
+attempt can still replace it.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 STATUS_OK = 200
 
 
-class PartMaker:
-    """Parts of one answer.
+class PartBuilder:
+    """Builds the parts of one answer.
 
-    ``profile`` is the name that the answer carries; empty leaves the answer as it
-    is.  ``wants_stream`` says that the caller asked for a stream.
+    ``profile`` is the name to write into the answer; if empty, an unstreamed answer is
+    not rewritten.  ``wants_stream`` says that the caller asked for a stream.
     """
 
     def __init__(self, request_id: str, profile: str, wants_stream: bool) -> None:
@@ -27,31 +28,31 @@
         self._wants_stream = wants_stream
         self._rewriter = Rewriter(request_id, profile)
         self._head: Head | None = None
-        self._held: list[bytes] = []
+        self._buffered: list[bytes] = []
         self._source = ("", "")
-        self._given = False
+        self._delivered = False
 
     @property
-    def given(self) -> bool:
-        """Whether the caller has a part of the answer."""
-        return self._given
+    def delivered(self) -> bool:
+        """Whether a part of the answer was delivered to the caller."""
+        return self._delivered
 
     @property
     def resumable(self) -> bool:
-        """Whether another upstream can go on from the text given out alone."""
+        """Whether another upstream can continue from the delivered text alone."""
         return self._rewriter.resumable
 
     @property
     def text_finished(self) -> bool:
-        """Whether the engine said that its text is complete."""
+        """Whether the engine reported that its text is complete."""
         return self._rewriter.finished
 
     def begin(self, upstream: str, incarnation: str) -> None:
-        """Take events from another sidecar; what was only held is dropped."""
+        """Begin an attempt at a sidecar; drops what is buffered but not delivered."""
         self._source = (upstream, incarnation)
-        if not self._given:
+        if not self._delivered:
             self._head = None
-            self._held.clear()
+            self._buffered.clear()
 
     def start(self, action: Start) -> None:
         """Take the status and headers of the answer."""
@@ -59,19 +60,19 @@
         self._head = Head(action.status, action.headers, streamed)
 
     def deliver(self, action: Deliver) -> list[Part]:
-        """Take events in order; return what goes to the caller now."""
+        """Take the next events; return the parts to deliver to the caller now."""
         if not self._is_streamed:
-            self._held.extend(action.events)
+            self._buffered.extend(action.events)
             return []
         events = [e for e in action.events if e.strip() != DONE_EVENT]
-        texts = tuple(self._rewriter.event(event) for event in events)
-        return [*self._first(), self._events(action.offset, texts)]
+        rewritten = tuple(self._rewriter.event(event) for event in events)
+        return [*self._undelivered_head(), self._events(action.offset, rewritten)]
 
     def finish(self) -> list[Part]:
-        """Take the end of a whole answer; return what goes to the caller now."""
-        parts = self._first()
+        """Take the end of the complete answer; return the parts to deliver now."""
+        parts = self._undelivered_head()
         if not self._is_streamed:
-            body = b"".join(self._held)
+            body = b"".join(self._buffered)
             body = self._rewriter.body(body) if self._profile else body
             parts.append(self._events(0, (body,)))
         return parts
@@ -80,12 +81,14 @@
     def _is_streamed(self) -> bool:
         return self._head is not None and self._head.streamed
 
-    def _first(self) -> list[Part]:
-        if self._given:
+    def _undelivered_head(self) -> list[Part]:
+        if self._delivered:
             return []
         if self._head is None:
-            raise InvariantError(f"{self._request_id} has an answer but no head")
-        self._given = True
+            raise InvariantError(
+                f"request {self._request_id}: events arrived before a head"
+            )
+        self._delivered = True
         return [self._head]
 
     def _events(self, offset: int, events: tuple[bytes, ...]) -> Events:
--- a/gooseberrydale/request/policy_names.py
+++ b/gooseberrydale/request/policy_names.py
@@ -1,3 +1,3 @@
-"""Names of the routing policies, for checking settings without loading their code."""
+"""Names of the routing policies, to validate settings without importing the code."""
 
 POLICY_NAMES = ("affinity", "random", "round-robin", "least-loaded", "hash-only")
--- a/gooseberrydale/request/prompt.py
+++ b/gooseberrydale/request/prompt.py
@@ -1,11 +1,11 @@
-"""Pieces of a prompt and the keys of its cached prefixes.
-
-A prompt is cut at its message boundaries and, inside long messages, about every
-four thousand tokens.  Each piece is named by a hash over all that stands before it,
-so two prompts share a piece's name only if they share the whole prefix.  The hash
-has no root: workspace, model and weights version join it in :func:`piece_key`,
-where the upstream is known.  Chat templates differ, therefore roles and every other
-field that a template may read are part of the hash.  Pure; lives for one request.
+"""Splits a prompt into pieces and computes the keys of its cached prefixes.
+
+A prompt is split at its message boundaries and, inside long messages, about every
+four thousand tokens.  Each piece has a hash of the prompt up to the end of the piece,
+so two prompts have the hash of a piece in common only if their whole prefix is equal.
+Workspace, model and weights version are not part of this hash; :func:`piece_key` adds
+them as a root once the upstream is known.  Roles and every other field that a chat
+template may read are part of the hash, since templates differ.  Pure.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 CHAT_PATH = "/v1/chat/completions"
 COMPLETION_PATH = "/v1/completions"
 
-# Fields outside the messages that chat templates render before them.
+# Fields outside the messages that chat templates may render before the messages.
 PREAMBLE_FIELDS = (
     "tools",
     "tool_choice",
@@ -36,7 +36,7 @@
     "chat_template_kwargs",
 )
 
-# A segment is its tag, a name (role or part type) and its data.
+# A tag, a name (a role or the type of a content part) and the data.
 Segment = tuple[bytes, bytes, bytes]
 
 _PREAMBLE = b"A"
@@ -49,10 +49,10 @@
 
 
 def prompt_pieces(path: str, body: Mapping[str, object]) -> tuple[Piece, ...]:
-    """Return the pieces of the prompt in ``body``, outermost first.
+    """Return the pieces of the prompt in ``body``, in order.
 
-    ``path`` is the path of the OpenAI-compatible call.  A body without a prompt, or
-    a call of another kind, has no pieces.
+    ``path`` is the path of the OpenAI-compatible call.  The result is empty for a body
+    without a prompt and for other paths.
     """
     if path.endswith(CHAT_PATH):
         return _chain(_chat_segments(body))
@@ -62,29 +62,29 @@
 
 
 def cache_root(workspace: str, model: str, weights_version: str) -> bytes:
-    """Return the root that keeps cached prefixes of other origins apart."""
+    """Return the root that separates the cached prefixes of different origins."""
     digest = hashlib.blake2b(digest_size=ROOT_BYTES)
     for part in (workspace, model, weights_version):
-        digest.update(_framed(part.encode()))
+        digest.update(_length_prefixed(part.encode()))
     return digest.digest()
 
 
 def piece_key(root: bytes, chain: bytes) -> bytes:
-    """Return the cache key of the piece ``chain`` under ``root``."""
+    """Return the cache key under ``root`` of the piece with hash ``chain``."""
     return hashlib.blake2b(chain, key=root, digest_size=CHAIN_BYTES).digest()
 
 
 def _chain(segments: Iterator[Segment]) -> tuple[Piece, ...]:
-    """Hash the segments in one pass, with a name at each cut."""
-    running = hashlib.blake2b(digest_size=CHAIN_BYTES)
+    """Hash the segments in one pass, and emit a piece at each cut."""
+    running_hash = hashlib.blake2b(digest_size=CHAIN_BYTES)
     pieces = []
     for tag, name, data in segments:
         for start in range(0, max(len(data), 1), PIECE_BYTES):
             part = data[start : start + PIECE_BYTES]
-            running.update(_CONTINUED if start else tag + _framed(name))
-            running.update(_framed(part))
+            running_hash.update(_CONTINUED if start else tag + _length_prefixed(name))
+            running_hash.update(_length_prefixed(part))
             tokens = max(1, -(-len(part) // BYTES_PER_TOKEN))
-            pieces.append(Piece(chain=running.copy().digest(), tokens=tokens))
+            pieces.append(Piece(chain=running_hash.copy().digest(), tokens=tokens))
     return tuple(pieces)
 
 
@@ -100,22 +100,22 @@
 
 
 def _message_segments(message: object) -> Iterator[Segment]:
-    """One message: its content, then what else a template may render of it."""
+    """Yield the content of a message, then all other fields as one segment."""
     if not isinstance(message, Mapping):
         yield _FIELDS, b"", _canonical(message)
         return
     role = str(message.get("role", "")).encode()
     content = message.get("content")
     if isinstance(content, list | tuple):
-        # The message itself opens with no text, so that parts can't pass for it.
+        # Opens the message without text, to distinguish parts from a plain text.
         yield _MESSAGE, role, b""
         for part in content:
             yield _part_segment(part)
     else:
         yield _MESSAGE, role, _text(content)
-    rest = {k: v for k, v in message.items() if k not in ("role", "content")}
-    if rest:
-        yield _FIELDS, role, _canonical(rest)
+    other_fields = {k: v for k, v in message.items() if k not in ("role", "content")}
+    if other_fields:
+        yield _FIELDS, role, _canonical(other_fields)
 
 
 def _part_segment(part: object) -> Segment:
@@ -133,9 +133,9 @@
     if isinstance(prompt[0], int):
         yield _TOKENS, b"", b"".join(_token_bytes(token) for token in prompt)
         return
-    # A batch of prompts: only the first one's names equal those it has when alone.
-    for one in prompt:
-        yield from _completion_segments(one)
+    # A batch: only the first prompt gets the same hashes as when it is sent alone.
+    for item in prompt:
+        yield from _completion_segments(item)
 
 
 def _token_bytes(token: object) -> bytes:
@@ -153,5 +153,5 @@
     return msgspec.json.encode(value, order="deterministic")
 
 
-def _framed(data: bytes) -> bytes:
+def _length_prefixed(data: bytes) -> bytes:
     return len(data).to_bytes(4, "big") + data
--- a/gooseberrydale/request/reassembly.py
+++ b/gooseberrydale/request/reassembly.py
@@ -1,9 +1,9 @@
-"""Puts the frames of an answer into order, whatever way they come.
+"""Restores the order of the frames of an answer.
 
-Only frames of the current request, attempt and incarnation count; all others are
-dropped and counted.  Events leave strictly by offset 0, 1, 2, ...: repeated ones are
-dropped, a gap is answered with :class:`NeedAttach`, and an end at another offset
-than the count of delivered events is no clean end.  Pure; lives for one request.
+Only frames of the current request, attempt and incarnation are used; all others are
+dropped and counted.  Events are delivered strictly by offset 0, 1, 2, ...: duplicates
+are dropped, a gap results in :class:`NeedAttach`, and an end frame must name the
+number of events delivered, else it is an error.  Pure; one instance per request.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """The answer begins: its status and headers; given once."""
+    """The answer begins.  This action occurs once per answer."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deliver:
-    """Events for the caller; ``offset`` is that of the first one."""
+    """Events for the caller; ``offset`` is the offset of the first event."""
 
     offset: int
     events: tuple[bytes, ...]
@@ -44,32 +44,36 @@
 
 @dataclass(frozen=True, slots=True)
 class NeedAttach:
-    """Events from ``offset`` on are missing: attach again there."""
+    """Events from ``offset`` on are missing: attach to the attempt at ``offset``."""
 
     offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The answer is whole: the caller may get its clean end."""
+    """The answer is complete: the caller may get its normal end."""
 
 
 @dataclass(frozen=True, slots=True)
-class Broken:
-    """This attempt brings no more; ``refused`` means before any answer."""
+class AttemptFailed:
+    """This attempt sends nothing more; ``refused`` means that it never began."""
 
     problem: Problem
     refused: bool = False
 
 
-Action = Start | Deliver | NeedAttach | Finished | Broken
+Action = Start | Deliver | NeedAttach | Finished | AttemptFailed
 
 
 @dataclass(slots=True)
 class FrameCounts:
-    """What was dropped, in frames (``foreign``, ``late``) and events."""
+    """Counts of dropped frames and events, and of gaps.
 
-    foreign: int = 0
+    ``mismatched`` frames are of another request, attempt or incarnation; ``late`` ones
+    came after the end of the answer or of its attempt.
+    """
+
+    mismatched: int = 0
     late: int = 0
     repeated_events: int = 0
     gaps: int = 0
@@ -78,8 +82,9 @@
 class Reassembly:
     """The answer to one request, over all its attempts.
 
-    ``begin`` names the attempt whose frames count from then on.  ``first_offset`` is
-    that of the first event wanted, if the caller has the earlier ones.
+    ``begin`` selects the attempt whose frames are used from then on.
+    ``first_offset`` is the offset of the first event to deliver; the caller already
+    has the events before it.
     """
 
     def __init__(self, request_id: str, first_offset: int = 0) -> None:
@@ -90,43 +95,43 @@
         self._events: list[bytes] = []
         self._started = False
         self._ended = False
-        self._broken = False
-        self._waits_for_attach = False
+        self._failed = False
+        self._attach_pending = False
         self.counts = FrameCounts()
 
     @property
     def next_offset(self) -> int:
-        """Offset of the next event, which is the count of those delivered."""
+        """Offset of the next event to deliver."""
         return self._first_offset + len(self._events)
 
     @property
     def started(self) -> bool:
-        """Whether status and headers were given."""
+        """Whether :class:`Start` was returned."""
         return self._started
 
     @property
     def finished(self) -> bool:
-        """Whether the answer is whole."""
+        """Whether the answer is complete."""
         return self._ended
 
     def begin(self, attempt: int, incarnation: str) -> int:
-        """Take frames of this attempt from now on; return the first offset wanted."""
+        """Use the frames of this attempt from now on; return the next offset."""
         self._attempt = attempt
         self._incarnation = incarnation
-        self._broken = False
-        self._waits_for_attach = False
+        self._failed = False
+        self._attach_pending = False
         return self.next_offset
 
     def attached(self) -> None:
-        """Say that the stream was attached again at ``next_offset``."""
-        self._waits_for_attach = False
+        """Record that the attempt was attached to again at ``next_offset``."""
+        self._attach_pending = False
 
     def feed(self, frame: Frame) -> tuple[Action, ...]:
-        """Take one frame; return what follows from it, in order."""
+        """Process one frame; return the resulting actions in order."""
         if not self._is_current(frame):
-            self.counts.foreign += 1
+            self.counts.mismatched += 1
             return ()
-        if self._ended or self._broken:
+        if self._ended or self._failed:
             self.counts.late += 1
             return ()
         if isinstance(frame, Heartbeat):
@@ -134,7 +139,7 @@
         if isinstance(frame, Accepted):
             return self._on_accepted(frame)
         if isinstance(frame, Refused):
-            return self._break(frame.problem, refused=True)
+            return self._fail(frame.problem, refused=True)
         if isinstance(frame, Chunk):
             return self._on_chunk(frame)
         if isinstance(frame, End):
@@ -142,7 +147,11 @@
         return self._on_failed(frame)
 
     def emitted_text(self) -> str | None:
-        """Return the text delivered so far, or None if it can't be continued."""
+        """Return the text of the whole answer so far.
+
+        None if it is not available, or if the answer is not one plain text that
+        another upstream could continue.
+        """
         if self._first_offset:
             return None
         return _text_of(self._events)
@@ -161,49 +170,54 @@
         return (Start(frame.status, frame.headers, frame.cached_tokens),)
 
     def _on_chunk(self, frame: Chunk) -> tuple[Action, ...]:
-        known = self.next_offset - frame.offset
-        if known < 0 or not self._started:
+        repeated = self.next_offset - frame.offset
+        if repeated < 0 or not self._started:
             return self._gap()
-        self.counts.repeated_events += min(known, len(frame.events))
-        fresh = frame.events[known:]
-        if not fresh:
+        self.counts.repeated_events += min(repeated, len(frame.events))
+        new_events = frame.events[repeated:]
+        if not new_events:
             return ()
-        return (self._deliver(self.next_offset, fresh),)
+        return (self._deliver(self.next_offset, new_events),)
 
     def _deliver(self, offset: int, events: tuple[bytes, ...]) -> Deliver:
         if offset != self.next_offset or self._ended:
-            raise InvariantError(f"event {offset} delivered at {self.next_offset}")
+            raise InvariantError(
+                f"event {offset} out of order, expected {self.next_offset}"
+            )
         self._events.extend(events)
-        self._waits_for_attach = False
+        self._attach_pending = False
         return Deliver(offset, events)
 
     def _on_end(self, frame: End) -> tuple[Action, ...]:
         if frame.offset > self.next_offset or not self._started:
             return self._gap()
         if frame.offset < self.next_offset:
-            return self._break(_contradiction())
+            return self._fail(_wrong_end_offset())
         self._ended = True
         return (Finished(),)
 
     def _on_failed(self, frame: Failed) -> tuple[Action, ...]:
         if frame.offset > self.next_offset:
             return self._gap()
-        return self._break(frame.problem)
+        return self._fail(frame.problem)
 
-    def _break(self, why: Problem, refused: bool = False) -> tuple[Action, ...]:
-        self._broken = True
-        return (Broken(why, refused),)
+    def _fail(self, why: Problem, refused: bool = False) -> tuple[Action, ...]:
+        self._failed = True
+        return (AttemptFailed(why, refused),)
 
     def _gap(self) -> tuple[Action, ...]:
-        """Ask once; what follows on the same connection shows the same gap."""
-        if self._waits_for_attach:
+        """Ask for an attach, once per gap.
+
+        Later frames of the same connection show the same gap again.
+        """
+        if self._attach_pending:
             return ()
-        self._waits_for_attach = True
+        self._attach_pending = True
         self.counts.gaps += 1
         return (NeedAttach(self.next_offset),)
 
 
-def _contradiction() -> Problem:
+def _wrong_end_offset() -> Problem:
     return problem(errors.UPSTREAM_FAILED, not_run=False)
 
 
@@ -228,7 +242,7 @@
 
 
 def _text_of(events: list[bytes]) -> str | None:
-    parts: list[str] = []
+    texts: list[str] = []
     for data in events:
         if data.strip() == DONE_EVENT:
             continue
@@ -240,8 +254,8 @@
             text = _choice_text(choice)
             if text is None:
                 return None
-            parts.append(text)
-    return "".join(parts)
+            texts.append(text)
+    return "".join(texts)
 
 
 def _choice_text(choice: _StreamChoice) -> str | None:
--- a/gooseberrydale/request/recorder.py
+++ b/gooseberrydale/request/recorder.py
@@ -1,7 +1,7 @@
-"""Gathers an answer in the form in which it is recorded under its key.
+"""Collects an answer in the form in which it is recorded under its Idempotency-Key.
 
-Lives for one request.  A streamed answer is recorded as the text of its events, so
-that a resend gets it in the form that the first caller asked for.
+There is one recorder per request.  A streamed answer is recorded as the text of its
+event stream, so a resend gets it in the form that the first caller asked for.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Recorder:
-    """Takes the parts of one whole answer."""
+    """Collects the parts of one answer."""
 
     def __init__(self) -> None:
         self._head: Head | None = None
@@ -21,7 +21,7 @@
 
     @property
     def is_streamed(self) -> bool:
-        """Whether events are passed on one by one."""
+        """Whether the answer is an event stream."""
         return self._head is not None and self._head.streamed
 
     @property
@@ -39,13 +39,13 @@
     @property
     def body(self) -> bytes:
         """Body to record."""
-        end = DONE_TEXT if self.is_streamed else b""
-        return b"".join(self._parts) + end
+        end_marker = DONE_TEXT if self.is_streamed else b""
+        return b"".join(self._parts) + end_marker
 
     def add(self, part: Part) -> None:
-        """Take the next part."""
+        """Add the next part of the answer."""
         if isinstance(part, Head):
             self._head = part
         elif isinstance(part, Events):
-            form = b"data: %b\n\n" if self.is_streamed else b"%b"
-            self._parts.extend(form % event for event in part.events)
+            template = b"data: %b\n\n" if self.is_streamed else b"%b"
+            self._parts.extend(template % event for event in part.events)
--- a/gooseberrydale/request/replay.py
+++ b/gooseberrydale/request/replay.py
@@ -1,8 +1,8 @@
-"""Keeps the events of one answer, so that a reader may come back at an offset.
+"""Buffers the events of one answer, so that a reader can attach again at an offset.
 
-Lives from the start of an attempt until a while after its end.  Pure: it holds no
-task and reads no clock.  What the reader has not taken is never dropped; the writer
-is told to wait instead.  What it has taken is kept up to a limit of bytes.
+There is one log per attempt; it is kept for some time after the attempt ends.  Pure: no
+tasks and no clock.  Events that the reader has not read are never dropped; the writer
+must wait instead.  Events that it has read are retained up to a limit of bytes.
 """
 
 from __future__ import annotations
@@ -15,55 +15,57 @@
 
 
 class ReplayLog:
-    """Events with consecutive offsets, the oldest of which may be gone."""
+    """Events with consecutive offsets; the oldest ones may have been dropped."""
 
     def __init__(self, first_offset: int, max_bytes: int) -> None:
         self._events: deque[bytes] = deque()
         self._first = first_offset
-        self._taken = first_offset
+        self._read_offset = first_offset
         self._max_bytes = max_bytes
         self._bytes = 0
-        self._untaken_bytes = 0
+        self._unread_bytes = 0
 
     @property
     def first(self) -> int:
-        """Offset of the oldest event that is still kept."""
+        """Offset of the oldest event that is retained."""
         return self._first
 
     @property
     def end(self) -> int:
-        """Offset of the next event to come."""
+        """Offset of the next event to be appended."""
         return self._first + len(self._events)
 
     @property
     def full(self) -> bool:
-        """True while the writer has to wait for the reader."""
-        return self._untaken_bytes >= self._max_bytes
+        """Whether the writer has to wait for the reader."""
+        return self._unread_bytes >= self._max_bytes
 
     def append(self, event: bytes) -> None:
         """Add the next event."""
         self._events.append(event)
         self._bytes += len(event)
-        self._untaken_bytes += len(event)
+        self._unread_bytes += len(event)
         self._trim()
 
     def holds(self, offset: int) -> bool:
-        """True if a reader may go on at ``offset``."""
+        """Whether a reader can continue at ``offset``."""
         return self._first <= offset <= self.end
 
     def rewind(self, offset: int) -> None:
-        """Let the reader go on at ``offset``, which must be held."""
+        """Continue reading at ``offset``, which must be retained."""
         if not self.holds(offset):
-            raise InvariantError(f"offset {offset} is not in {self._first}..{self.end}")
-        self._taken = offset
+            raise InvariantError(
+                f"can't rewind to {offset}: the log has {self._first}..{self.end}"
+            )
+        self._read_offset = offset
         skip = offset - self._first
-        self._untaken_bytes = sum(
+        self._unread_bytes = sum(
             len(event) for i, event in enumerate(self._events) if i >= skip
         )
 
     def take(self) -> tuple[int, tuple[bytes, ...]]:
-        """Return the reader's offset and the events from there, in one batch."""
-        offset = self._taken
+        """Return the read offset and the next batch of events, and advance past it."""
+        offset = self._read_offset
         batch: list[bytes] = []
         size = 0
         for index in range(offset - self._first, len(self._events)):
@@ -71,12 +73,12 @@
             size += len(batch[-1])
             if size >= MAX_BATCH_BYTES:
                 break
-        self._taken += len(batch)
-        self._untaken_bytes -= size
+        self._read_offset += len(batch)
+        self._unread_bytes -= size
         self._trim()
         return offset, tuple(batch)
 
     def _trim(self) -> None:
-        while self._bytes > self._max_bytes and self._first < self._taken:
+        while self._bytes > self._max_bytes and self._first < self._read_offset:
             self._bytes -= len(self._events.popleft())
             self._first += 1
--- a/gooseberrydale/request/rewrite.py
+++ b/gooseberrydale/request/rewrite.py
@@ -1,8 +1,8 @@
-"""Turns an engine's answer into the router's own: its names are those callers know.
+"""Rewrites the names in an engine's answer to those that callers use.
 
-Lives for one request.  Callers know profiles, not models, so the answer carries the
-profile's name; and all parts of an answer carry one id and one time, also when it
-was resumed on another upstream.
+There is one rewriter per request.  Callers name profiles, not models, so the answer
+contains the profile's name.  All events of an answer have the same id and creation
+time, even if the answer was resumed on another upstream.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class Rewriter:
-    """Rewrites the events of one answer; ``profile`` empty keeps the model's name."""
+    """Rewrites one answer; an empty ``profile`` keeps the model's name."""
 
     def __init__(self, request_id: str, profile: str) -> None:
         self._request_id = request_id
@@ -31,27 +31,27 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether another upstream can go on from the text given out alone."""
+        """Whether another upstream can continue from the delivered text alone."""
         return self._continuable and not self._finished
 
     @property
     def finished(self) -> bool:
-        """Whether the engine said that its text is complete."""
+        """Whether the engine reported that its text is complete."""
         return self._finished
 
     def body(self, body: bytes) -> bytes:
-        """The whole body of an answer that is not a stream."""
+        """Rewrite the body of an answer that is not streamed."""
         obj = _decode(body)
         return body if obj is None else self._encode(obj)
 
     def event(self, event: bytes) -> bytes:
-        """One event of a stream."""
+        """Rewrite one event of a stream."""
         obj = _decode(event)
         if obj is None:
             self._continuable = False
             return event
         for choice in obj.get("choices") or ():
-            self._note(choice)
+            self._inspect_choice(choice)
         return self._encode(obj)
 
     def _encode(self, obj: dict[str, Any]) -> bytes:
@@ -65,10 +65,10 @@
         obj["created"] = self._created
         return msgspec.json.encode(obj)
 
-    def _note(self, choice: dict[str, Any]) -> None:
+    def _inspect_choice(self, choice: dict[str, Any]) -> None:
         delta = choice.get("delta") or {}
-        given = {name for name, value in delta.items() if value}
-        if not given <= CONTINUABLE_FIELDS or choice.get("logprobs"):
+        fields = {name for name, value in delta.items() if value}
+        if not fields <= CONTINUABLE_FIELDS or choice.get("logprobs"):
             self._continuable = False
         if choice.get("finish_reason") is not None:
             self._finished = True
--- a/gooseberrydale/request/runner.py
+++ b/gooseberrydale/request/runner.py
@@ -1,8 +1,8 @@
-"""Carries one request from the first choice of an upstream to its whole answer.
+"""Runs one request, from the choice of an upstream to the complete answer.
 
-Lives for one request.  The decisions are made by the pure modules beside this one;
-the runner reads frames, carries the decisions out, and makes sure that the sidecar
-hears of it when the request is given up.
+There is one runner per request.  The pure modules of this package make the decisions;
+the runner reads frames, carries out the decisions, and sends a cancel to the sidecar
+when the request is abandoned.
 """
 
 from __future__ import annotations
@@ -36,15 +36,15 @@
 from gooseberrydale.process.quota_client import Want
 from gooseberrydale.request.cancel import cancel, confirm_not_run
 from gooseberrydale.request.chooser import CONNECTION_CAUSES, Chooser
-from gooseberrydale.request.claim_gate import Gate
+from gooseberrydale.request.claim_gate import AttemptGate
 from gooseberrydale.request.comeback import PART_OF_LEFT
 from gooseberrydale.request.deps import Deps
 from gooseberrydale.request.exchange import DeadlinePassed, Exchange, ExchangeLost
 from gooseberrydale.request.fingerprint import shown
 from gooseberrydale.request.job import Job, Part, ReaderReplaced
-from gooseberrydale.request.parts import PartMaker
+from gooseberrydale.request.parts import PartBuilder
 from gooseberrydale.request.reassembly import (
-    Broken,
+    AttemptFailed,
     Deliver,
     Finished,
     NeedAttach,
@@ -64,68 +64,68 @@
 from gooseberrydale.request.routing import Choice
 
 NOT_RUN_CAUSES = frozenset({Cause.REFUSED, Cause.TOMBSTONED})
-"""Ends at which the upstream is known not to run the request."""
+"""Causes after which the upstream is known not to run the request."""
 
-COME_BACK_S = 1.0
-CONFIRM_AT_DEADLINE_S = 0.25
-FIRST_SERVER_STATUS = 500
-UNSTREAMED_ANSWER_S = 300.0
-"""Time for the rest of a completion that is not streamed, after its deadline."""
+RETRY_AFTER_S = 1.0
+CONFIRM_TIMEOUT_S = 0.25
+FIRST_SERVER_ERROR_STATUS = 500
+UNSTREAMED_GRACE_S = 300.0
+"""Time after the deadline in which an unstreamed completion may still finish."""
 
 
 class Runner:
-    """Runs one :class:`Job`; use ``answer`` once, within ``aclosing``."""
+    """Runs one :class:`Job`.  Call ``answer`` once and wrap it in ``aclosing``."""
 
-    def __init__(self, deps: Deps, job: Job, gate: Gate) -> None:
+    def __init__(self, deps: Deps, job: Job, gate: AttemptGate) -> None:
         self._deps = deps
         self._job = job
         self._gate = gate
         profile = job.profile.name if job.is_completion else ""
-        self._parts = PartMaker(job.request_id, profile, job.stream)
+        self._parts = PartBuilder(job.request_id, profile, job.stream)
         self._reassembly = Reassembly(job.request_id)
         self._choice: Choice | None = None
         self._exchange: Exchange | None = None
         self._attempt = 0
         self._accepted = False
-        self._served = False
+        self._upstream_answered = False
         self._record_seq = 0
         self._may_have_run = False
-        self._whole = False
+        self._complete = False
         self._handed_over = False
         self._deadline = self._now() + job.profile.deadline_s
         self._chooser = Chooser(deps, job, self._left_s)
         self._charge = QuotaCharge(deps.quotas, self._want())
 
     def hand_over(self) -> None:
-        """Leave the answer running at its sidecar when ``answer`` is closed."""
+        """Let the sidecar keep running the attempt after ``answer`` is closed."""
         self._handed_over = True
 
     async def answer(self) -> AsyncGenerator[Part, None]:
-        """Head and events of the answer; raises :class:`ProblemError`.
+        """Yield the head and events of the answer; raises :class:`ProblemError`.
 
-        It ends without an error only if the answer is whole.
+        The generator returns without an error only if the answer is complete.
         """
         self._deps.budget.deposit(self._now())
         try:
             await self._admit()
-            while not self._whole:
+            while not self._complete:
                 for part in await self._step():
                     yield part
         except DeadlinePassed:
             raise ProblemError(await self._deadline_problem()) from None
         finally:
-            self._release()
+            self._close_exchange()
             self._charge.close()
-            self._count_dropped()
+            self._count_dropped_frames()
 
     async def _admit(self) -> None:
         """Raise :class:`ProblemError` if the workspace is over its quota."""
-        over = await self._charge.admit()
-        if over is not None:
-            raise ProblemError(refusal_of(self._job.request_id, self._charge, over))
+        refusal = await self._charge.admit()
+        if refusal is not None:
+            raise ProblemError(refusal_of(self._job.request_id, self._charge, refusal))
 
     def _want(self) -> Want | None:
-        """What the request needs of its workspace's quota; None without one."""
+        """Return what the request takes from its workspace's quota, if it has one."""
         job = self._job
         workspace = self._deps.store.config.workspaces.get(job.workspace)
         quota = None if workspace is None else workspace.limit
@@ -143,28 +143,28 @@
         )
 
     async def _step(self) -> list[Part]:
-        """Go on by one frame, or deal with one failure."""
+        """Handle the next frame, or the failure that came instead of it."""
         try:
             if self._exchange is None:
                 self._exchange = await self._start()
                 await self._send(self._exchange)
-            frame = await self._exchange.next(self._until())
+            frame = await self._exchange.next(self._frame_deadline())
         except ExchangeLost as exc:
-            logger.info("attempt of {} lost: {}", self._job.request_id, exc)
-            if exc.replaced and self._gives_way:
+            logger.info("attempt of request {} lost: {}", self._job.request_id, exc)
+            if exc.replaced and self._may_have_other_reader:
                 self._handed_over = True
                 raise ReaderReplaced from None
             await self._decide(self._outcome(exc.cause))
             return []
-        self._learn(frame)
-        return await self._act(frame)
+        self._observe(frame)
+        return await self._handle_frame(frame)
 
     @property
-    def _gives_way(self) -> bool:
-        """Whether another reader of this answer can exist."""
-        return self._parts.given or bool(self._job.idempotency_key)
+    def _may_have_other_reader(self) -> bool:
+        """Whether another request may have taken over reading this answer."""
+        return self._parts.delivered or bool(self._job.idempotency_key)
 
-    async def _act(self, frame: Frame) -> list[Part]:
+    async def _handle_frame(self, frame: Frame) -> list[Part]:
         parts: list[Part] = []
         for action in self._reassembly.feed(frame):
             match action:
@@ -174,20 +174,20 @@
                     parts += self._parts.deliver(action)
                 case Finished():
                     parts += self._parts.finish()
-                    self._whole = True
-                    self._note_served()
+                    self._complete = True
+                    self._record_answered()
                 case NeedAttach():
                     await self._decide(self._outcome(Cause.GAP))
-                case Broken():
+                case AttemptFailed():
                     cause = Cause.REFUSED if action.refused else Cause.FAILED
                     await self._decide(self._outcome(cause, action.problem))
         return parts
 
-    def _note_served(self) -> None:
-        if self._served:
+    def _record_answered(self) -> None:
+        if self._upstream_answered:
             self._deps.ended_incarnations.answered(self._job.fingerprint, self._now())
 
-    def _learn(self, frame: Frame) -> None:
+    def _observe(self, frame: Frame) -> None:
         assert self._exchange is not None and self._choice is not None
         if not self._exchange.is_current(frame):
             return
@@ -196,7 +196,7 @@
         self._deps.policy.observe(self._choice, frame, self._now())
         if isinstance(frame, Accepted):
             self._accepted = True
-            self._served = frame.status < FIRST_SERVER_STATUS
+            self._upstream_answered = frame.status < FIRST_SERVER_ERROR_STATUS
             tally = self._deps.instruments.tally
             tally.prompt_tokens += sum(piece.tokens for piece in self._job.pieces)
             tally.cached_tokens += frame.cached_tokens
@@ -204,19 +204,19 @@
             self._deps.config_sync.notice(self._choice.record, frame.cfg_revision)
 
     async def _start(self) -> Exchange:
-        """Begin another attempt on an upstream that was not tried yet."""
+        """Choose an upstream and begin the next attempt on it."""
         self._check_quarantined()
         self._choice = await self._chooser.choose(
-            given=self._parts.given, may_have_run=self._may_have_run
+            given=self._parts.delivered, may_have_run=self._may_have_run
         )
-        record = self._newest(self._choice.record)
+        record = self._newest_record(self._choice.record)
         self._record_seq = record.seq
         await self._gate.admit(record, self._attempt + 1)
         self._attempt += 1
         self._accepted = False
         self._parts.begin(record.name, record.incarnation)
-        if not self._parts.given:
-            self._count_dropped()
+        if not self._parts.delivered:
+            self._count_dropped_frames()
             self._reassembly = Reassembly(self._job.request_id)
         self._reassembly.begin(self._attempt, record.incarnation)
         return Exchange(
@@ -229,9 +229,11 @@
         )
 
     def _check_quarantined(self) -> None:
-        """Raise :class:`ProblemError` if the request ends those that run it.
+        """Raise :class:`ProblemError` if this request is quarantined.
 
-        Asked before each attempt: repeats have ids of their own and come to any entry.
+        Requests are quarantined when upstreams crash while they run them.  This is
+        checked before each attempt, since the same request may also have been sent
+        under another request id and through another entry meanwhile.
         """
         ended_incarnations, request = (
             self._deps.ended_incarnations,
@@ -242,16 +244,18 @@
         ended = ended_incarnations.blamed_for(request)
         emit(RequestQuarantined(self._job.request_id, shown(request), list(ended)))
         not_run = None if self._may_have_run else True
-        if self._parts.given:
+        if self._parts.delivered:
             not_run = False
         kind = ENDS_UPSTREAMS if not_run else ENDED_UPSTREAMS
         raise ProblemError(
             problem(kind, not_run=not_run, count=len(ended), digest=shown(request))
         )
 
-    def _newest(self, record: UpstreamRecord) -> UpstreamRecord:
-        """The newest announcement of the same incarnation; the choice may name an old
-        one."""
+    def _newest_record(self, record: UpstreamRecord) -> UpstreamRecord:
+        """Return the newest announcement of the same incarnation.
+
+        The chosen record may be older.
+        """
         newest = self._deps.directory.get(record.name, self._now())
         if newest is None or newest.incarnation != record.incarnation:
             return record
@@ -281,33 +285,33 @@
             claim_key=self._job.idempotency_key,
             record_seq=self._record_seq,
         )
-        await exchange.dispatch(req, self._until())
+        await exchange.dispatch(req, self._frame_deadline())
         self._charge.sent()
         self._deps.policy.dispatched(self._choice, self._now())
 
     def _outcome(self, cause: Cause, why: Problem | None = None) -> Outcome:
         assert self._exchange is not None
-        given = self._parts.given
+        delivered = self._parts.delivered
         return Outcome(
             cause=cause,
             attempt=self._attempt,
             accepted=self._accepted,
-            delivered=self._reassembly.next_offset if given else 0,
+            delivered=self._reassembly.next_offset if delivered else 0,
             problem=why,
-            attach_tried=self._exchange.attach_tried,
+            attach_tried=self._exchange.attach_exhausted,
             resumable=self._can_resume(),
             earlier_may_have_run=self._may_have_run,
         )
 
     def _can_resume(self) -> bool:
-        if not self._parts.given:
+        if not self._parts.delivered:
             return True
         if not self._job.single or not self._parts.resumable:
             return False
         return self._reassembly.emitted_text() is not None
 
     async def _decide(self, outcome: Outcome) -> None:
-        """Carry out what the end of an attempt calls for."""
+        """Decide what follows the end of an attempt, and do it."""
         assert self._exchange is not None and self._choice is not None
         if outcome.cause in (*CONNECTION_CAUSES, Cause.NOT_SENT):
             self._deps.policy.lost(self._choice, self._now())
@@ -330,32 +334,35 @@
             case Retry() | Resume():
                 self._may_have_run = step.may_have_run
                 self._chooser.failed(outcome.cause, outcome.problem)
-                self._leave(outcome.cause)
+                self._abandon(outcome.cause)
                 self._deps.instruments.retries.add(1, {"cause": outcome.cause.value})
                 if isinstance(step, Resume):
                     self._deps.instruments.resumes.add(1)
             case Fail():
-                self._leave(outcome.cause)
+                self._abandon(outcome.cause)
                 self._fail(step.problem)
 
     def _fail(self, why: Problem) -> None:
-        """End the request, unless all that is missing is the end marker."""
-        text_is_all = self._job.single and not self._job.wants_usage
-        if self._parts.text_finished and text_is_all:
-            self._whole = True
+        """End the request with ``why``.
+
+        If only the end marker is missing, the answer counts as complete instead.
+        """
+        only_text_wanted = self._job.single and not self._job.wants_usage
+        if self._parts.text_finished and only_text_wanted:
+            self._complete = True
             return
         if why.not_run is not True and not self._job.profile.repeatable:
             why = replace(why, retry_after_s=None)
         raise ProblemError(why)
 
-    def _leave(self, cause: Cause) -> None:
-        """Give up the attempt; its sidecar hears of it if it may still run."""
+    def _abandon(self, cause: Cause) -> None:
+        """Abandon the attempt, and cancel it at the sidecar if it may still run."""
         if cause in (Cause.REFUSED, Cause.FAILED, Cause.TOMBSTONED):
             assert self._exchange is not None
             self._exchange.stop()
             self._exchange = None
             return
-        self._release()
+        self._close_exchange()
 
     async def _confirm(self, exchange: Exchange, outcome: Outcome) -> Outcome:
         if await self._confirm_not_run(exchange, self._deps.cfg.silence_s):
@@ -366,13 +373,13 @@
         req = self._cancel_req(exchange)
         return await confirm_not_run(self._deps.pool, exchange.sidecar, req, timeout_s)
 
-    def _release(self) -> None:
-        """Drop the call, and cancel at the sidecar what nobody waits for."""
+    def _close_exchange(self) -> None:
+        """Close the call and cancel the attempt, unless it has to continue."""
         exchange, self._exchange = self._exchange, None
         if exchange is None:
             return
         exchange.stop()
-        if self._whole or self._handed_over or not exchange.sent:
+        if self._complete or self._handed_over or not exchange.sent:
             return
         work = cancel(
             self._deps.pool,
@@ -395,26 +402,28 @@
         exchange = self._exchange
         if exchange is None or not exchange.sent:
             not_run = None if self._may_have_run else True
-            return problem(DEADLINE_PASSED, not_run=not_run, retry_after_s=COME_BACK_S)
+            return problem(
+                DEADLINE_PASSED, not_run=not_run, retry_after_s=RETRY_AFTER_S
+            )
         if self._job.profile.repeatable:
-            return problem(DEADLINE_PASSED, not_run=None, retry_after_s=COME_BACK_S)
-        if await self._confirm_not_run(exchange, CONFIRM_AT_DEADLINE_S):
-            return problem(DEADLINE_PASSED, retry_after_s=COME_BACK_S)
+            return problem(DEADLINE_PASSED, not_run=None, retry_after_s=RETRY_AFTER_S)
+        if await self._confirm_not_run(exchange, CONFIRM_TIMEOUT_S):
+            return problem(DEADLINE_PASSED, retry_after_s=RETRY_AFTER_S)
         return problem(OUTCOME_UNKNOWN, not_run=None)
 
-    def _count_dropped(self) -> None:
+    def _count_dropped_frames(self) -> None:
         counts = self._reassembly.counts
         tally = self._deps.instruments.tally
-        tally.dropped_late_frames += counts.foreign + counts.late
+        tally.dropped_late_frames += counts.mismatched + counts.late
         tally.dropped_duplicate_frames += counts.repeated_events
 
-    def _until(self) -> float | None:
-        """Loop time until which the next frame is waited for."""
-        if self._parts.given:
+    def _frame_deadline(self) -> float | None:
+        """Return the loop time at which to stop waiting for a frame, None if never."""
+        if self._parts.delivered:
             return None
         if self._job.stream or not self._job.is_completion:
             return self._deadline
-        return self._deadline + UNSTREAMED_ANSWER_S
+        return self._deadline + UNSTREAMED_GRACE_S
 
     def _left_s(self) -> float:
         return self._deadline - self._now()
--- a/gooseberrydale/request/upstream_body.py
+++ b/gooseberrydale/request/upstream_body.py
@@ -1,8 +1,8 @@
 """Builds the body of a completion call to the upstream.
 
-Lives as long as the building of one body; pure.  The caller's JSON goes through
-unchanged but for the model, the cache extension, the priority and, for a stream
-that is resumed on another upstream, the form that continues an answer.
+Pure.  The caller's JSON is passed on unchanged, except for the model, the cache
+extension, the priority and, for a stream that is resumed on another upstream, the
+fields that ask the engine to continue the answer.
 """
 
 from __future__ import annotations
@@ -43,35 +43,35 @@
 ) -> Result[CompletionBody, Problem]:
     """Return the body for the upstream.
 
-    ``root`` is the cache root; ``keys`` are the full piece keys with their tokens,
-    outermost first.
+    ``root`` is the cache root; ``keys`` are the cache keys of the prompt's pieces in
+    order, each with its tokens.
     """
     try:
         body = _decoder.decode(req.body)
     except msgspec.DecodeError as exc:
         return Err(problem(INVALID_JSON, reason=exc))
     if not isinstance(body, dict):
-        return Err(problem(INVALID_FIELD, reason="the body must be an object"))
+        return Err(problem(INVALID_FIELD, reason="the body must be a JSON object"))
     if req.emitted:
-        reason = _continue(body, req)
+        reason = _request_continuation(body, req)
         if reason is not None:
             return Err(problem(INVALID_FIELD, reason=reason))
-        _shorten(body, req.first_offset)
+        _reduce_limits(body, req.first_offset)
     if model:
         body["model"] = model
     body["cache_salt"] = root.hex()
     body["kv_pieces"] = [{"key": key.hex(), "tokens": n} for key, n in keys]
     body["priority"] = priority
-    return Ok(CompletionBody(_encoder.encode(body), _limit(body)))
+    return Ok(CompletionBody(_encoder.encode(body), _token_limit(body)))
 
 
-def _limit(body: dict[str, Any]) -> int | None:
+def _token_limit(body: dict[str, Any]) -> int | None:
     limits = [body[name] for name in _LIMIT_FIELDS if isinstance(body.get(name), int)]
     return min(limits, default=None)
 
 
-def _continue(body: dict[str, Any], req: DispatchReq) -> str | None:
-    """Ask for the rest of an answer; return the reason if the body can't say so."""
+def _request_continuation(body: dict[str, Any], req: DispatchReq) -> str | None:
+    """Ask for the rest of an answer; return the reason if that is impossible."""
     if req.path.partition("?")[0] == CHAT_PATH:
         messages = body.get("messages")
         if not isinstance(messages, list):
@@ -83,15 +83,15 @@
         return None
     prompt = body.get("prompt")
     if not isinstance(prompt, str):
-        return "only a 'prompt' that is a text can be resumed"
+        return "an answer can be resumed only if 'prompt' is a string"
     body["prompt"] = prompt + req.emitted
     body["continue_from_bytes"] = len(prompt.encode())
     return None
 
 
-def _shorten(body: dict[str, Any], given: int) -> None:
-    """Ask only for the tokens that are left; engines send one token an event."""
+def _reduce_limits(body: dict[str, Any], delivered: int) -> None:
+    """Subtract the delivered tokens; engines send one token per event."""
     for name in _LIMIT_FIELDS:
         limit = body.get(name)
         if isinstance(limit, int):
-            body[name] = max(0, limit - given)
+            body[name] = max(0, limit - delivered)
--- a/tests/builders_memory_net.py
+++ b/tests/builders_memory_net.py
@@ -1,10 +1,10 @@
 """An in-memory network between entries and sidecars, on a paused clock.
 
-It stands in for ``RpcChannel`` and ``RpcServer``.  Like the real transport it brings a
-request to its handler at most once and answers only that one; a stray copy may follow
-later, but its answer reaches nobody.  All else may go wrong: loss, delay, repeats,
-reorder, frames that reach another call, silence without an end, cuts seen by one side
-only, and processes that die without a word.
+It replaces ``RpcChannel`` and ``RpcServer``.  Like the real transport, it delivers a
+request to its handler at most once and returns only that answer; a duplicate may arrive
+later, but its answer is discarded.  Everything else can go wrong: loss, delay,
+duplicates, reordering, frames that reach another call, connections that go silent
+forever, cuts that only one side notices, and processes killed without notice.
 """
 
 from __future__ import annotations
@@ -23,27 +23,27 @@
 from gooseberrydale.connection.messages import DispatchReq
 from gooseberrydale.connection.rpc import Method
 
-STRAY_S = 12.0
-LINK_S = 0.002
-# Timers of the same instant run in any order.
-STEP_S = 1e-6
+MAX_DUPLICATE_DELAY_S = 12.0
+LINK_DELAY_S = 0.002
+# Separates timers that must run in order: timers of one instant run in any order.
+ORDER_STEP_S = 1e-6
 Deliver = Callable[[], None]
 owner: contextvars.ContextVar[str] = contextvars.ContextVar("owner", default="")
 
 
 @dataclass(slots=True)
 class Faults:
-    """Chances for one message; ``delay_s`` is the longest delay."""
+    """Probabilities of faults per message; ``delay_s`` is the longest delay."""
 
     loss: float = 0.0
     repeat: float = 0.0
     reorder: float = 0.0
     cross: float = 0.0
-    delay_s: float = LINK_S
+    delay_s: float = LINK_DELAY_S
 
 
 class Processes:
-    """Knows which task belongs to which process, so that one can be killed."""
+    """Records the tasks of each simulated process, so that it can be killed."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.errors: list[BaseException] = []
@@ -52,13 +52,13 @@
         loop.set_task_factory(self._make)  # type: ignore[arg-type]
 
     def spawn(self, name: str, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run ``work`` as a task of process ``name``; so are all that it starts."""
+        """Run ``work``, and all tasks that it starts, as tasks of process ``name``."""
         context = contextvars.copy_context()
         context.run(owner.set, name)
         return self.loop.create_task(work, context=context)
 
     def kill(self, name: str) -> None:
-        """Stop all tasks of the process."""
+        """Cancel all tasks of the process."""
         for task in list(self._tasks.get(name, ())):
             task.cancel()
 
@@ -77,7 +77,7 @@
 
 
 class Host:
-    """One incarnation of a listening process; takes handlers as ``RpcServer`` does."""
+    """One incarnation of a server; registers handlers like ``RpcServer``."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -91,7 +91,10 @@
 
 
 class Net:
-    """All channels and what is on the way; ``observe`` sees (host, request, reply)."""
+    """All channels and the messages in transit.
+
+    ``observe`` is called with host, request and reply for each reply of a server.
+    """
 
     def __init__(self, rng: random.Random, processes: Processes) -> None:
         self.rng = rng
@@ -105,14 +108,14 @@
         self.sent_at: dict[Any, float] = {}
         self.observe: Callable[[Host, Any, Any], None] = lambda *_: None
 
-    def chance(self, part: float) -> bool:
-        return self.rng.random() < part
+    def chance(self, probability: float) -> bool:
+        return self.rng.random() < probability
 
     def delay(self) -> float:
         return self.rng.uniform(0.0, self.faults.delay_s)
 
     def send(self, channel: Channel, delay_s: float, deliver: Deliver) -> None:
-        """Bring one message over; it waits wherever the connection is silent."""
+        """Deliver one message; it is held back while the connection is silent."""
         self.processes.loop.call_later(delay_s, self._pass, channel, deliver)
 
     def _pass(self, channel: Channel, deliver: Deliver) -> None:
@@ -124,25 +127,25 @@
             deliver()
 
     def hold(self, entry: str, address: str) -> None:
-        """Nothing passes between the two until ``release``, and nobody is told."""
+        """Hold back all messages between the two, unnoticed, until ``release``."""
         self.held.setdefault((entry, address), [])
 
     def release(self) -> None:
-        """What was held comes now, late."""
-        waiting = [one for held in self.held.values() for one in held]
+        """Deliver all messages that were held back."""
+        held_back = [message for held in self.held.values() for message in held]
         self.held.clear()
         for channel in self.channels:
-            waiting += channel.held or ()
+            held_back += channel.held or ()
             channel.held = None
-        for deliver in waiting:
+        for deliver in held_back:
             deliver()
 
-    def cut(self, concerned: Callable[[Channel], bool], *, told: float) -> None:
-        """Break connections; each side hears of it with chance ``told``."""
+    def cut(self, matches: Callable[[Channel], bool], *, notified: float) -> None:
+        """Break connections; each side notices with probability ``notified``."""
         for channel in list(self.channels):
-            if concerned(channel):
+            if matches(channel):
                 for call in list(channel.calls):
-                    call.cut(self.chance(told), self.chance(told))
+                    call.cut(self.chance(notified), self.chance(notified))
 
     def open_channels(self) -> list[Channel]:
         self.channels = [c for c in self.channels if not c.closed or c.held]
@@ -150,7 +153,7 @@
 
 
 class Channel:
-    """What an entry holds in the place of an ``RpcChannel``."""
+    """Replaces the ``RpcChannel`` of an entry."""
 
     def __init__(self, net: Net, entry: str, address: str) -> None:
         self.ends = (entry, address)
@@ -164,14 +167,14 @@
     @property
     def reachable(self) -> bool:
         net = self.net
-        here = self.ends not in net.cuts and self.ends[0] not in net.dead
-        return here and self.ends[1] in net.hosts
+        entry_connected = self.ends not in net.cuts and self.ends[0] not in net.dead
+        return entry_connected and self.ends[1] in net.hosts
 
     async def connect(self) -> bool:
         await asyncio.sleep(self.net.delay())
         silent = self.ends in self.net.held or self.held is not None
         if silent and self.connected:
-            # An open connection that went silent looks as it did.
+            # An open connection that went silent still looks connected.
             return True
         while self.ends in self.net.held or self.held is not None:
             await asyncio.sleep(1.0)
@@ -199,8 +202,8 @@
         self._method = method
         self._req = req
         self._inbox: asyncio.Queue[Any] = asyncio.Queue()
-        self._over = False
-        self._servers: list[asyncio.Task[Any]] = []
+        self._ended = False
+        self._server_tasks: list[asyncio.Task[Any]] = []
         self._lost = False
         self._last_at = 0.0
         channel.calls.add(self)
@@ -212,7 +215,7 @@
         elif not self.net.chance(self.net.faults.loss):
             self.net.send(channel, self.net.delay(), self._arrive)
 
-    # The caller's end.
+    # The caller's side.
 
     async def read(self) -> Any:
         item = await self._inbox.get()
@@ -231,43 +234,43 @@
     def cancel(self) -> None:
         self._end(asyncio.CancelledError())
         if self._channel.ends[0] not in self.net.dead:
-            self.net.send(self._channel, self.net.delay(), self._stop_servers)
+            self.net.send(self._channel, self.net.delay(), self._cancel_server_tasks)
 
-    def cut(self, told: bool, server_told: bool) -> None:
-        if told:
+    def cut(self, notified: bool, notify_server: bool) -> None:
+        if notified:
             self._end(_rpc_error(grpc.StatusCode.UNAVAILABLE))
-        # A side that is not told waits in vain.
-        self._over = True
+        # A side that is not notified gets no reply and no error.
+        self._ended = True
         self._channel.calls.discard(self)
-        if server_told:
-            self._stop_servers()
+        if notify_server:
+            self._cancel_server_tasks()
 
     def put(self, item: Any) -> None:
-        if not self._over:
+        if not self._ended:
             self._inbox.put_nowait(item)
 
     def _end(self, why: BaseException | object) -> None:
         self.put(why)
-        self._over = True
+        self._ended = True
         self._channel.calls.discard(self)
 
-    # The server's end.
+    # The server's side.
 
     def _arrive(self) -> None:
         net = self.net
         if not self._start(self._answer):
             self.cut(True, True)
         if net.chance(net.faults.repeat):
-            later = net.rng.uniform(0.0, STRAY_S)
-            stray = lambda: self._start(self._swallow)  # noqa: E731
-            net.processes.loop.call_later(later, stray)
+            delay_s = net.rng.uniform(0.0, MAX_DUPLICATE_DELAY_S)
+            serve_duplicate = lambda: self._start(self._serve_duplicate)  # noqa: E731
+            net.processes.loop.call_later(delay_s, serve_duplicate)
 
     def _start(self, serve: Any) -> bool:
         host = self.net.hosts.get(self._channel.ends[1])
         if host is None:
             return False
         task = self.net.processes.spawn(host.name, serve(host))
-        self._servers.append(task)
+        self._server_tasks.append(task)
         return True
 
     async def _answer(self, host: Host) -> None:
@@ -278,11 +281,11 @@
         async with aclosing(answer) as frames:
             async for frame in frames:
                 self._send_back(host, frame)
-        # No transport ends a call properly before all of its frames have come.
+        # A transport ends a call normally only after all of its frames.
         if not self._lost:
-            self._later(lambda: self._end(grpc.aio.EOF), in_order=True)
+            self._deliver_later(lambda: self._end(grpc.aio.EOF), in_order=True)
 
-    async def _swallow(self, host: Host) -> None:
+    async def _serve_duplicate(self, host: Host) -> None:
         answer = host.handlers[self._method](self._req)
         if not self._method.server_streams:
             await answer
@@ -298,29 +301,29 @@
         if self.net.chance(faults.loss):
             self._lost = True
             return
-        self._later(lambda: self.put(msg))
+        self._deliver_later(lambda: self.put(msg))
         if self._method.server_streams and self.net.chance(faults.repeat):
-            self._later(lambda: self.put(msg))
+            self._deliver_later(lambda: self.put(msg))
         if self._method.server_streams and self.net.chance(faults.cross):
-            self._later(lambda: self._put_elsewhere(msg))
+            self._deliver_later(lambda: self._misroute(msg))
 
-    def _put_elsewhere(self, msg: Any) -> None:
+    def _misroute(self, msg: Any) -> None:
         for channel in self.net.open_channels():
             if channel.ends[0] == self._channel.ends[0]:
                 for call in channel.calls:
                     if call._method.server_streams:
                         call.put(msg)
 
-    def _later(self, deliver: Deliver, *, in_order: bool = False) -> None:
+    def _deliver_later(self, deliver: Deliver, *, in_order: bool = False) -> None:
         now = self.net.processes.loop.time()
         at = now + self.net.delay()
         if in_order or not self.net.chance(self.net.faults.reorder):
-            at = max(at, self._last_at + STEP_S)
+            at = max(at, self._last_at + ORDER_STEP_S)
         self._last_at = max(at, self._last_at)
         self.net.send(self._channel, at - now, deliver)
 
-    def _stop_servers(self) -> None:
-        for task in self._servers:
+    def _cancel_server_tasks(self) -> None:
+        for task in self._server_tasks:
             task.cancel()
 
 
--- a/tests/builders_memory_roles.py
+++ b/tests/builders_memory_roles.py
@@ -1,7 +1,7 @@
-"""One incarnation of a sidecar, of an entry and of control, of the product's own parts.
+"""Incarnations of a sidecar, an entry and control, built from the product's own parts.
 
-What is left out are listeners, the mesh and the watch over the upstream: the fleet
-brings announcements and configurations round, and upstreams break their connections.
+Without listeners, the mesh and the health check of the upstream: instead, the fleet
+distributes announcements and configurations, and upstreams break their connections.
 """
 
 from __future__ import annotations
@@ -53,14 +53,14 @@
 )
 
 POOLS = {"up-0": "summary", "up-1": "summary", "up-2": "bidding", "up-3": "bidding"}
-# The greatest age of an announcement that a dispatch may be based on, a lease and the
-# time to the next announcement.
-STALE_S = MAX_DISPATCH_AGE_S + 6.0 + 2.0
+# Maximum age of a valid dispatch: that of the announcement it is based on, plus a lease
+# and the time to the next announcement.
+MAX_VALID_AGE_S = MAX_DISPATCH_AGE_S + 6.0 + 2.0
 METRICS = Metrics("entry", "entry-1", "local")
 
 
 class MemoryWatch:
-    """What a sidecar knows of an upstream in memory: whether it is up."""
+    """Reports whether a simulated upstream is up."""
 
     state = UpstreamState()
     tells_requests = False
@@ -76,26 +76,28 @@
 
 
 class CheckedDispatcher(Dispatcher):
-    """Notes what is taken in though the sidecar leaves or shuts down, or though it
-    was meant for another incarnation or sent long ago; ``sent_at`` tells when.
+    """Records dispatches that the sidecar accepted wrongly.
+
+    Those are dispatches accepted while the sidecar leaves or shuts down, meant for
+    another incarnation, or sent too long ago according to ``sent_at``.
     """
 
     def __init__(self, sent_at: dict[Any, float], *args: Any) -> None:
         super().__init__(*args)
-        self.wrongly_taken: list[DispatchReq] = []
+        self.wrongly_accepted: list[DispatchReq] = []
         self._sent_at = sent_at
         self._draining = False
 
     def dispatch(self, req: DispatchReq) -> Attempt | Refused:
         leaving = self._name in self._store.config.leaving
-        foreign = req.incarnation != self._incarnation
+        other_incarnation = req.incarnation != self._incarnation
         sent_at = self._sent_at[req.request_id, req.attempt, req.incarnation]
-        stale = asyncio.get_running_loop().time() - sent_at > STALE_S
-        taken = super().dispatch(req)
-        wrong = leaving or self._draining or foreign or stale
-        if wrong and not isinstance(taken, Refused):
-            self.wrongly_taken.append(req)
-        return taken
+        stale = asyncio.get_running_loop().time() - sent_at > MAX_VALID_AGE_S
+        reply = super().dispatch(req)
+        wrong = leaving or self._draining or other_incarnation or stale
+        if wrong and not isinstance(reply, Refused):
+            self.wrongly_accepted.append(req)
+        return reply
 
     async def drain(self, bound_s: float) -> None:
         self._draining = True
@@ -103,7 +105,7 @@
 
 
 class Sidecar:
-    """One incarnation of a sidecar, of the product's own parts."""
+    """One incarnation of a sidecar, built from the product's own parts."""
 
     def __init__(
         self, name: str, incarnation: int, upstream: Upstream, sent_at: dict[Any, float]
@@ -139,7 +141,7 @@
         service.register(self.host)  # type: ignore[arg-type]
 
     def record(self, now: float) -> UpstreamRecord:
-        """The next announcement."""
+        """Return the next announcement."""
         self.seq += 1
         self.dispatcher.gate.announced(self.seq, now)
         return UpstreamRecord(
@@ -160,14 +162,14 @@
 
 
 class Control:
-    """One control replica that leads; it may be down."""
+    """One control replica, always the leader; ``down`` makes it unreachable."""
 
     def __init__(self) -> None:
         self.down = False
         self._state = ControlState()
 
     def commit(self, req: Any) -> Any:
-        """Apply one request to the state."""
+        """Apply one request to the state and return the reply."""
         now = asyncio.get_running_loop().time()
         command = encode(Command(now, (encode(req),)))
         reply = decode(self._state.apply(self._state.index + 1, command))
@@ -176,7 +178,7 @@
 
 
 class ControlPath:
-    """The state of control behind one entry's unreliable way to it."""
+    """One entry's unreliable connection to control."""
 
     def __init__(self, net: Net, control: Control, entry: str) -> None:
         self._net = net
@@ -210,11 +212,11 @@
 
 
 class NoLink:
-    """No other entry is there to share quotas with."""
+    """Replaces the link for quotas: there is no other entry."""
 
     def on(self, kind: Any, handler: Any) -> None: ...
 
-    def send(self, told: object, peers: Any) -> None: ...
+    def send(self, message: object, peers: Any) -> None: ...
 
 
 class Entry:
@@ -236,7 +238,7 @@
             directory=self.directory,
             pool=pool,
             policy=make_policy("affinity", random.Random(net.rng.random())),
-            # Small, so that it runs out now and then.
+            # Small enough to run out in some runs.
             budget=RetryBudget(cap=3.0),
             background=background,
             config_sync=ConfigSync(self.store, pool, background),
@@ -257,7 +259,7 @@
         return Channel(self._net, self.incarnation_name, address)
 
     def answering(self, job: Job) -> Answering:
-        """As the entry's calls choose it."""
+        """Return the answer for ``job``, chosen as the entry does."""
         if job.idempotency_key:
             return KeyedAnswer(self.deps, job, self._claims)
         return Runner(self.deps, job, OpenGate())
--- a/tests/builders_memory_upstream.py
+++ b/tests/builders_memory_upstream.py
@@ -1,8 +1,8 @@
-"""Upstreams in memory that keep a record of all that they ever ran.
+"""Simulated upstreams that record every run.
 
-``MemoryCall`` stands in for the sidecar's HTTP connection to its upstream.  An answer
-depends on the request alone, so that any upstream gives the one right answer or the
-rest of it.
+``MemoryCall`` replaces the sidecar's HTTP connection to its upstream.  An answer
+depends only on the request, so each upstream produces the same answer or the same rest
+of it.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """One entry of an upstream's own record."""
+    """One run of an attempt on an upstream."""
 
     upstream: str
     triple: Triple
@@ -35,26 +35,33 @@
 
 
 def word_count(subject: str) -> int:
-    """How many words the right answer to a prompt has."""
+    """Return the number of words of the expected answer."""
     return 2 + zlib.crc32(subject.encode()) % 9
 
 
-def check_words(given: list[str], subject: str, *, whole: bool) -> None:
-    """The words are the right ones, in order, and each later run goes on from the
-    one before: a run that was given up brings nothing any more.
+def check_words(words: list[str], subject: str, *, complete: bool) -> None:
+    """Check that ``words`` are the expected answer or the beginning of it.
+
+    The runs that produced them must be in ascending order: a run that was abandoned
+    for a later one must deliver nothing more.
     """
-    marks = [word.split("/") for word in given]
-    assert all(mark[0] == subject for mark in marks), given
-    assert [int(mark[1]) for mark in marks] == list(range(len(marks))), given
-    runs = [int(mark[2]) for mark in marks]
-    assert runs == sorted(runs), given
-    assert len(given) <= word_count(subject), given
-    assert not whole or len(given) == word_count(subject), given
+    fields = [word.split("/") for word in words]
+    assert all(word_fields[0] == subject for word_fields in fields), words
+    assert [int(word_fields[1]) for word_fields in fields] == list(
+        range(len(fields))
+    ), words
+    runs = [int(word_fields[2]) for word_fields in fields]
+    assert runs == sorted(runs), words
+    assert len(words) <= word_count(subject), words
+    assert not complete or len(words) == word_count(subject), words
 
 
 @dataclass(slots=True)
 class Work:
-    """What ran anywhere, and the times that a part of an answer may take."""
+    """All runs of the fleet.
+
+    ``work_s`` holds the times that one part of an answer may take.
+    """
 
     net: Net
     runs: list[Run] = field(default_factory=list)
@@ -62,7 +69,7 @@
 
 
 class Upstream:
-    """One upstream; it may die and come back with nothing."""
+    """One upstream; it can be killed, and restarted without its state."""
 
     def __init__(self) -> None:
         self.up = True
@@ -75,14 +82,14 @@
         for call in list(self.calls):
             call.abort()
 
-    def back(self) -> None:
+    def restart(self) -> None:
         if not self.up:
             self.up = True
             self.incarnation += 1
 
 
 class MemoryCall:
-    """Stands in for ``UpstreamCall``: one connection of a sidecar to its upstream."""
+    """Replaces ``UpstreamCall``: one connection of a sidecar to its upstream."""
 
     def __init__(
         self, work: Work, upstream: Upstream, name: str, incarnation: str
@@ -90,7 +97,7 @@
         self.sent = False
         self.status = 0
         self.headers: tuple[tuple[str, str], ...] = ()
-        self._world = work
+        self._work_log = work
         self._upstream = upstream
         self._name = name
         self._incarnation = incarnation
@@ -99,13 +106,13 @@
         self._parts: list[bytes] = []
 
     async def open(self, method: str, target: str, headers: Any, body: bytes) -> None:
-        if not self._upstream.up or self._incarnation in self._world.net.dead:
+        if not self._upstream.up or self._incarnation in self._work_log.net.dead:
             raise UpstreamError("refused", sent=False)
         self._upstream.calls.add(self)
         self.sent = True
-        # What was sent arrives, whether or not the sender still waits for it.
+        # A request that was sent arrives even if the sender no longer waits.
         loop = asyncio.get_running_loop()
-        loop.call_later(self._world.net.delay(), self._arrive, dict(headers), body)
+        loop.call_later(self._work_log.net.delay(), self._arrive, dict(headers), body)
         await self._wait(self._arrived)
         await self._work()
         self.status = 200
@@ -113,11 +120,11 @@
     def _arrive(self, headers: dict[str, str], body: bytes) -> None:
         if not self._upstream.up:
             return
-        asked = msgspec.json.decode(body)
+        request = msgspec.json.decode(body)
         request_id, attempt = headers["x-request-id"], int(headers["x-attempt"])
         triple = (request_id, attempt, self._incarnation)
-        self._world.runs.append(Run(self._name, triple, _subject(asked)))
-        self._parts, kind = _answer(asked, len(self._world.runs))
+        self._work_log.runs.append(Run(self._name, triple, _subject(request)))
+        self._parts, kind = _answer(request, len(self._work_log.runs))
         self.headers = (("content-type", kind),)
         self._arrived.set()
 
@@ -126,8 +133,8 @@
             try:
                 await self._work()
             except UpstreamError:
-                # A stream may also end early as if it were whole.
-                if self._is_stream and self._world.net.chance(0.5):
+                # A truncated stream may also end without an error.
+                if self._is_stream and self._work_log.net.chance(0.5):
                     return
                 raise
             yield part
@@ -143,8 +150,8 @@
         self._upstream.calls.discard(self)
 
     async def _work(self) -> None:
-        """Take some time; wait on while the connection is silent."""
-        pause_s = self._world.net.rng.choice(self._world.work_s)
+        """Take some time, and longer while the upstream is silent."""
+        pause_s = self._work_log.net.rng.choice(self._work_log.work_s)
         while pause_s > 0 or self._upstream.silent:
             await self._wait(asyncio.Event(), pause_s or 0.5)
             pause_s = 0.0
@@ -152,33 +159,35 @@
             raise UpstreamError("broken", sent=True)
 
     async def _wait(self, event: asyncio.Event, limit_s: float | None = None) -> None:
-        waits = {asyncio.create_task(e.wait()) for e in (event, self._broken)}
+        waiters = {asyncio.create_task(e.wait()) for e in (event, self._broken)}
         try:
             await asyncio.wait(
-                waits, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED
+                waiters, timeout=limit_s, return_when=asyncio.FIRST_COMPLETED
             )
         finally:
-            for task in waits:
+            for task in waiters:
                 task.cancel()
         if self._broken.is_set():
             raise UpstreamError("broken", sent=True)
 
 
-def _subject(asked: dict[str, Any]) -> str:
-    return str(asked["messages"][0]["content"] if "messages" in asked else asked["bid"])
+def _subject(request: dict[str, Any]) -> str:
+    return str(
+        request["messages"][0]["content"] if "messages" in request else request["bid"]
+    )
 
 
-def _answer(asked: dict[str, Any], run: int) -> tuple[list[bytes], str]:
-    """Parts of the body and its content type; all name the run that made them."""
-    subject = _subject(asked)
-    if "bid" in asked:
+def _answer(request: dict[str, Any], run: int) -> tuple[list[bytes], str]:
+    """Return the parts of the body, which name their run, and the content type."""
+    subject = _subject(request)
+    if "bid" in request:
         body = msgspec.json.encode({"done": subject, "run": run})
         return [body[:9], body[9:-3], body[-3:]], "application/json"
-    # Only an answer that is continued has a second message.
-    given = "".join(message["content"] for message in asked["messages"][1:])
-    left = range(len(given.split()), word_count(subject))
+    # Only a request to continue an answer has a second message.
+    delivered = "".join(message["content"] for message in request["messages"][1:])
+    left = range(len(delivered.split()), word_count(subject))
     words = [f"{subject}/{number}/{run} " for number in left]
-    if not asked.get("stream"):
+    if not request.get("stream"):
         body = chat_body("".join(words))
         cut = range(0, len(body), 60)
         return [body[at : at + 60] for at in cut], "application/json"
--- a/tests/builders_request_path.py
+++ b/tests/builders_request_path.py
@@ -1,10 +1,10 @@
-"""A small fleet in memory for long random runs over the request path.
+"""A small fleet in memory, for long random runs of the request path.
 
-Real are the entry's ``Runner`` and ``KeyedAnswer`` with all that they use, the
-sidecar's service, dispatcher and call to its upstream, and control's state.  Fake are
-the network, the connection to an upstream, the upstreams and the one control replica.
-``Work.runs`` is the record of all that ever ran; ``Fleet.check`` compares it with
-what callers and entries were told.
+The product's own code: the entry's ``Runner`` and ``KeyedAnswer`` with all that they
+use, the sidecar's service, dispatcher and call to its upstream, and control's state.
+Simulated: the network, the connections to upstreams, the upstreams and one control
+replica.  ``Work.runs`` records all runs on upstreams; ``Fleet.check`` compares it with
+the replies that callers and entries received.
 """
 
 from __future__ import annotations
@@ -50,15 +50,15 @@
 
 ENTRIES = ("entry-0", "entry-1", "entry-2")
 UPSTREAMS = tuple(POOLS)
-# Longer than any message is held back, any deadline and any call to an upstream.
-QUIET_S = 150.0
+# Longer than any delay of a message, any deadline and any call to an upstream.
+SETTLE_S = 150.0
 KEYS_RESENT = 4
 STRANGER = "b"
 
 
 @dataclass(slots=True)
 class Caller:
-    """One request of a caller, and what came of it."""
+    """One request of a caller, and its result."""
 
     job: Job
     subject: str
@@ -71,51 +71,53 @@
     faults: list[str] = field(default_factory=list)
 
     async def read(self, entry: Entry) -> None:
-        """Read the answer to its end and note how it ended."""
+        """Read the answer to its end and record how it ended."""
         try:
             answer = entry.answering(self.job).answer()
             async with contextlib.aclosing(answer) as parts:
                 async for part in parts:
-                    self._take(part)
+                    self._add_part(part)
         except ProblemError as exc:
             self.problem = exc.problem
             self.ends.append("problem")
         except asyncio.CancelledError:
-            self.ends.append("gone")
+            self.ends.append("cancelled")
         else:
-            self.ends.append("whole")
+            self.ends.append("complete")
 
-    def _take(self, part: Head | Events) -> None:
+    def _add_part(self, part: Head | Events) -> None:
         if isinstance(part, Head):
             if self.head is not None:
-                self.faults.append("a second head")
+                self.faults.append("second head received")
             self.head = part
             return
         if self.head is None or part.offset != len(self.events):
-            self.faults.append(f"offset {part.offset} after {len(self.events)} events")
+            self.faults.append(
+                f"offset {part.offset} received after {len(self.events)}"
+            )
         self.events.extend(part.events)
 
     def check(self) -> None:
-        """What the caller got is the right answer or the beginning of it."""
+        """Check that the caller got the expected answer, or the beginning of it."""
         assert not self.faults, (self.job, self.faults)
         assert len(self.ends) <= 1, (self.job, self.ends)
-        whole = self.ends == ["whole"]
+        complete = self.ends == ["complete"]
         if not self.job.is_completion:
-            if whole or self.events:
+            if complete or self.events:
                 body = msgspec.json.decode(b"".join(self.events))
                 assert body["done"] == self.subject, self
             return
-        check_words(self.text().split(), self.subject, whole=whole)
+        check_words(self.text().split(), self.subject, complete=complete)
 
     def text(self) -> str:
-        """The text that the caller has."""
+        """Return the text that the caller received."""
         kind = "delta" if self.job.stream else "message"
         choices = [msgspec.json.decode(event)["choices"][0] for event in self.events]
         return "".join(choice[kind].get("content") or "" for choice in choices)
 
 
 class Fleet:
-    """Everything together, on a clock of its own; ``check`` after each step."""
+    """The whole fleet on a simulated clock; call ``check`` after each step."""
 
     def __init__(self, seed: int = 0) -> None:
         self.loop = PausedClockLoop()
@@ -140,7 +142,7 @@
         for name in ENTRIES:
             self.start_entry(name)
         self.processes.spawn("mesh", self._mesh())
-        self.calm(2.0)
+        self.run_for(2.0)
 
     def _dial_upstream(self, incarnation: str) -> MemoryCall:
         name = self._all_sidecars[incarnation].name
@@ -148,8 +150,8 @@
 
     # Steps and faults.
 
-    def calm(self, seconds: float) -> None:
-        """Let time pass."""
+    def run_for(self, seconds: float) -> None:
+        """Run the event loop for this time on the simulated clock."""
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def ask(
@@ -161,12 +163,15 @@
         stream: bool = True,
         deadline_s: float = 20.0,
     ) -> Caller:
-        """Send a request: ``lots``, ``bids`` or ``keyed``; a resend has a subject."""
+        """Send a request of kind ``lots``, ``bids`` or ``keyed``.
+
+        ``subject`` is given to resend an earlier keyed call.
+        """
         number = next(self._numbers)
         subject = subject or f"{kind}-{number}"
         is_chat = kind == "lots"
-        asked = {"messages": [{"role": "user", "content": subject}], "stream": stream}
-        body = asked if is_chat else {"bid": subject}
+        chat = {"messages": [{"role": "user", "content": subject}], "stream": stream}
+        body = chat if is_chat else {"bid": subject}
         profile = self.config.profiles["lots" if is_chat else "bids"]
         job = Job(
             request_id=f"req-{number}",
@@ -186,7 +191,7 @@
         return caller
 
     def ask_as_stranger(self, entry: str, which: int) -> None:
-        """Attach to and cancel an attempt of another workspace."""
+        """Try to attach to and to cancel an attempt of another workspace."""
         if not self.work.runs:
             return
         run = self.work.runs[-1 - which % len(self.work.runs)]
@@ -219,19 +224,19 @@
         self.net.hosts[name] = sidecar.host
         self.processes.spawn(sidecar.incarnation, sidecar.dispatcher.start())
 
-    def kill_sidecar(self, name: str, *, told: float = 1.0) -> None:
-        """kill -9; ``told`` is the chance that a caller of it hears so at once."""
+    def kill_sidecar(self, name: str, *, notified: float = 1.0) -> None:
+        """Like kill -9; each peer notices at once with probability ``notified``."""
         sidecar = self.sidecars[name]
         sidecar.alive = False
         self.net.dead.add(sidecar.incarnation)
         self.net.hosts.pop(name, None)
-        self.net.cut(lambda channel: channel.ends[1] == name, told=told)
+        self.net.cut(lambda channel: channel.ends[1] == name, notified=notified)
         self.processes.kill(sidecar.incarnation)
         for call in list(self.upstreams[name].calls):
             call.abort()
 
     def shut_sidecar(self, name: str) -> None:
-        """Shut down in good order, then stay away until it is started again."""
+        """Shut down gracefully; the sidecar is not started again."""
         sidecar = self.sidecars[name]
         if sidecar.alive and not sidecar.closing:
             sidecar.closing = True
@@ -250,22 +255,22 @@
         )
 
     def kill_entry(self, name: str) -> None:
-        """kill -9, and another incarnation at once."""
+        """Like kill -9; starts another incarnation at once."""
         dead = self.entries[name].incarnation_name
         self.net.dead.add(dead)
-        self.net.cut(lambda channel: channel.ends[0] == dead, told=1.0)
+        self.net.cut(lambda channel: channel.ends[0] == dead, notified=1.0)
         self.processes.kill(dead)
         self.start_entry(name)
 
     def set_leaving(self, *names: str) -> None:
-        """Change the configuration; sidecars have it at once, entries in time."""
+        """Change the configuration; sidecars get it at once, entries later."""
         revision = self.config.revision + 1
         self.config = replace(self.config, revision=revision, leaving=frozenset(names))
         for sidecar in self.sidecars.values():
             sidecar.store.offer(self.config)
 
-    def heal(self) -> None:
-        """End all faults; what was held back comes now."""
+    def end_all_faults(self) -> None:
+        """End all faults and deliver all messages that were held back."""
         self.net.faults = type(self.net.faults)()
         self.net.cuts.clear()
         self.net.release()
@@ -273,13 +278,13 @@
         self.set_leaving()
         for name, upstream in self.upstreams.items():
             upstream.silent = False
-            upstream.back()
+            upstream.restart()
             if not self.sidecars[name].alive or self.sidecars[name].closing:
                 self.kill_sidecar(name)
                 self.start_sidecar(name)
 
     async def _mesh(self) -> None:
-        """Bring announcements and configurations round, late and with losses."""
+        """Distribute announcements and configurations, with delays and losses."""
         while True:
             now = self.loop.time()
             for sidecar in self.sidecars.values():
@@ -303,22 +308,22 @@
     # Checks.
 
     def _observe(self, host: Host, req: Any, reply: Any) -> None:
-        """Note which attempts a sidecar said never ran and never will."""
+        """Record the attempts that a sidecar reported as never to run."""
         if getattr(req, "workspace", "") == STRANGER:
             refused = isinstance(reply, Refused | CancelReply) and reply.problem
-            assert refused, f"a stranger was served: {reply}"
+            assert refused, f"sidecar served an attempt of another workspace: {reply}"
             return
         if isinstance(req, CancelReq) and isinstance(reply, CancelReply):
-            said = reply.not_run
+            never_runs = reply.not_run
         elif isinstance(req, DispatchReq) and isinstance(reply, Refused):
-            said = reply.problem.not_run is True
+            never_runs = reply.problem.not_run is True
         else:
             return
-        if said:
+        if never_runs:
             self.never_runs.add((req.request_id, req.attempt, req.incarnation))
 
     def check(self) -> None:
-        """Every promise that can be judged by now."""
+        """Check every guarantee that can be checked at this point."""
         assert not self.processes.errors, self.processes.errors
         ran = {run.triple for run in self.work.runs}
         assert not ran & self.never_runs, ran & self.never_runs
@@ -333,35 +338,35 @@
             if caller.problem is not None and caller.problem.not_run is True:
                 assert caller.job.request_id not in ran_requests, caller
         for sidecar in self._all_sidecars.values():
-            assert not sidecar.dispatcher.wrongly_taken, sidecar.name
+            assert not sidecar.dispatcher.wrongly_accepted, sidecar.name
 
     def finish(self) -> None:
-        """Heal, wait, and see that every request ended and new ones are served."""
-        self.heal()
+        """End all faults; check that every request ends and that new ones succeed."""
+        self.end_all_faults()
         self.work.work_s = FAST_WORK_S
-        self.calm(QUIET_S)
+        self.run_for(SETTLE_S)
         self.check()
         for caller in self.callers:
             assert len(caller.ends) == 1, (caller.job, caller.ends)
         keys = [c.subject for c in self.callers if c.job.idempotency_key][-KEYS_RESENT:]
-        again = [self.ask(ENTRIES[0], "keyed", key) for key in dict.fromkeys(keys)]
-        self.calm(QUIET_S)
-        assert all(len(caller.ends) == 1 for caller in again), again
-        late = [
+        resent = [self.ask(ENTRIES[0], "keyed", key) for key in dict.fromkeys(keys)]
+        self.run_for(SETTLE_S)
+        assert all(len(caller.ends) == 1 for caller in resent), resent
+        new_callers = [
             self.ask(entry, kind)
             for entry in ENTRIES
             for kind in ("lots", "bids", "keyed")
         ]
-        self.calm(QUIET_S)
+        self.run_for(SETTLE_S)
         self.check()
-        for caller in late:
-            assert caller.ends == ["whole"], caller
+        for caller in new_callers:
+            assert caller.ends == ["complete"], caller
 
     def close(self) -> None:
         """Stop all tasks and the clock."""
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
-        self.calm(1.0)
+        self.run_for(1.0)
         self.loop.close()
 
 
--- a/tests/test_attempt_end.py
+++ b/tests/test_attempt_end.py
@@ -1,4 +1,4 @@
-"""What follows when a send did not bring a whole answer."""
+"""The next step after a send that did not return a complete answer."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from gooseberrydale.request.retry import RetryBudget
 from gooseberrydale.request.retry_window import RetryWindow
 
-# end, repeatable, runs, sends -> what follows, and what the caller hears of the outcome
+# end, repeatable, runs, sends -> type of the step, ``not_run`` of its problem
 CASES: list[tuple[End, bool, int, int, type[Step], bool | None]] = [
     (End.NOT_SENT, False, 0, 1, SendAgain, None),
     (End.REFUSED, False, 0, 1, SendAgain, None),
@@ -37,8 +37,8 @@
 
 
 def step(end: End, repeatable: bool, runs: int, sends: int, **changed: object) -> Step:
-    """What follows with time, other upstreams and a full budget."""
-    terms: dict[str, object] = {
+    """Return the next step, by default with time, upstreams and budget left."""
+    kwargs: dict[str, object] = {
         "repeatable": repeatable,
         "max_runs": 2,
         "left_s": 1.0,
@@ -47,20 +47,20 @@
         "budget": RetryBudget(),
         "now": 0.0,
     }
-    return after_end(Sends(sends, runs, end), **{**terms, **changed})  # type: ignore
+    return after_end(Sends(sends, runs, end), **{**kwargs, **changed})  # type: ignore
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_what_follows(
+def test_next_step_for_each_end(
     case: tuple[End, bool, int, int, type[Step], bool | None],
 ) -> None:
-    end, repeatable, runs, sends, kind, not_run = case
-    found = step(end, repeatable, runs, sends)
-    assert type(found) is kind
-    if isinstance(found, GiveUp):
-        why = found.problem
+    end, repeatable, runs, sends, step_type, not_run = case
+    next_step = step(end, repeatable, runs, sends)
+    assert type(next_step) is step_type
+    if isinstance(next_step, GiveUp):
+        why = next_step.problem
         assert why.not_run is not_run
-        # A promise that nothing ran, and only that, comes with a time to come back.
+        # Only a problem that promises that nothing ran has a time to retry after.
         promises = not_run is True and end is not End.TIMED_OUT
         assert (why.status == 503, why.retry_after_s is not None) == (
             promises,
@@ -69,24 +69,24 @@
 
 
 SPENT = RetryBudget(ratio=0.0, floor_per_s=0.0, cap=0.0)
-AGAINST: dict[str, dict[str, object]] = {
+OBSTACLES: dict[str, dict[str, object]] = {
     "no other upstream": {"others": False},
     "no time left": {"left_s": 0.01},
     "no budget": {"budget": SPENT},
 }
 
 
-@pytest.mark.parametrize("case", AGAINST)
+@pytest.mark.parametrize("case", OBSTACLES)
 @pytest.mark.parametrize("end", [End.NOT_SENT, End.REFUSED, End.LOST, End.FAILED])
-def test_it_is_sent_again_only_if_that_can_help(end: End, case: str) -> None:
+def test_a_request_is_sent_again_only_if_that_can_help(end: End, case: str) -> None:
     runs = 0 if end in (End.NOT_SENT, End.REFUSED) else 1
-    found = step(end, True, runs, 1, **AGAINST[case])
-    # What no upstream has got is no repeat, so it needs no budget.
-    free = end is End.NOT_SENT and case == "no budget"
-    assert isinstance(found, SendAgain) is free
+    next_step = step(end, True, runs, 1, **OBSTACLES[case])
+    # After a failed connection, another send is no repeat and needs no budget.
+    needs_no_budget = end is End.NOT_SENT and case == "no budget"
+    assert isinstance(next_step, SendAgain) is needs_no_budget
 
 
-def test_a_budget_keeps_tokens_for_what_matters_more() -> None:
+def test_a_budget_reserves_tokens_for_more_important_retries() -> None:
     budget = RetryWindow(ratio=0.0, slack=2.0, window_s=10.0)
     assert budget.spend(0.0, keep_part=0.5)
     assert not budget.spend(0.0, keep_part=0.5)
--- a/tests/test_prompt.py
+++ b/tests/test_prompt.py
@@ -1,4 +1,4 @@
-"""Pieces of prompts: equal names for equal prefixes, and only for these."""
+"""Prompt pieces have equal hashes if, and only if, their whole prefixes are equal."""
 
 from __future__ import annotations
 
@@ -49,20 +49,20 @@
         (prompt_pieces(CHAT_PATH, {"messages": "no list"}), []),
     ],
 )
-def test_cut_at_messages_and_piece_size(
+def test_prompts_are_split_at_messages_and_piece_size(
     pieces: tuple[Piece, ...], tokens: list[int]
 ) -> None:
     assert [piece.tokens for piece in pieces] == tokens
 
 
-def test_equal_prefixes_have_equal_names_and_others_do_not() -> None:
+def test_only_equal_prefixes_have_equal_hashes() -> None:
     guide, lot = message("guide", "system"), message("lot 1")
-    one = chat(guide, lot, message("good?"))
-    two = chat(guide, lot, message("bad?"))
-    assert one[:2] == two[:2]
-    assert one[2].chain != two[2].chain
-    # A piece after another prefix is another piece, though its own text is equal.
-    assert chat(message("guide 2", "system"), lot)[1].chain != one[1].chain
+    good = chat(guide, lot, message("good?"))
+    bad = chat(guide, lot, message("bad?"))
+    assert good[:2] == bad[:2]
+    assert good[2].chain != bad[2].chain
+    # An equal text after a different prefix has a different hash.
+    assert chat(message("guide 2", "system"), lot)[1].chain != good[1].chain
     assert chat(message(LONG))[:2] == chat(message(LONG + "more"))[:2]
 
 
@@ -88,11 +88,11 @@
             chat(message("x" * PIECE_BYTES), message("y")),
         ),
         (text([1, 2]), text([2, 1])),
-        # A text that spells the frame of a next message is still one message.
+        # A text that contains the encoding of a second message is one message.
         (chat(message("a"), message("b")), chat(message("aM\0\0\0\4userb"))),
     ],
 )
-def test_what_a_template_renders_differently_has_another_name(
+def test_prompts_that_templates_render_differently_have_different_hashes(
     one: tuple[Piece, ...], other: tuple[Piece, ...]
 ) -> None:
     assert one[-1].chain != other[-1].chain
@@ -104,7 +104,7 @@
     )
 
 
-def test_key_depends_on_each_part_of_the_root() -> None:
+def test_piece_key_depends_on_each_part_of_the_root() -> None:
     roots = {
         cache_root(*parts)
         for parts in [
@@ -120,14 +120,14 @@
     assert len({piece_key(root, b"chain") for root in roots}) == 6
 
 
-turns = st.lists(
+conversations = st.lists(
     st.tuples(st.sampled_from(["user", "system"]), st.text(max_size=4)), max_size=4
 )
 
 
 @settings(derandomize=True, max_examples=300)
-@given(turns, turns)
-def test_pieces_are_shared_exactly_as_far_as_messages_are(
+@given(conversations, conversations)
+def test_prompts_share_exactly_the_pieces_of_their_common_messages(
     one: list[tuple[str, str]], other: list[tuple[str, str]]
 ) -> None:
     shared = 0
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,4 +1,4 @@
-"""The replay log never skips, repeats or drops what its reader has not taken."""
+"""The replay log never skips, repeats or drops an event that was not read."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from gooseberrydale.request.replay import ReplayLog
 
 
-def test_what_came_since_the_last_time_is_taken_as_one() -> None:
+def test_take_returns_all_events_since_the_last_take() -> None:
     log = ReplayLog(5, 1_000)
     log.append(b"a")
     log.append(b"b")
@@ -18,7 +18,7 @@
     assert log.take() == (7, ())
 
 
-def test_what_was_taken_is_kept_up_to_the_limit() -> None:
+def test_events_that_were_read_are_retained_up_to_the_limit() -> None:
     log = ReplayLog(0, 10)
     for _ in range(4):
         log.append(b"1234")
@@ -29,7 +29,7 @@
         log.rewind(1)
 
 
-def test_what_was_not_taken_holds_the_writer_up() -> None:
+def test_unread_events_make_the_writer_wait() -> None:
     log = ReplayLog(0, 10)
     for _ in range(3):
         log.append(b"12345")
@@ -50,7 +50,7 @@
 
 
 @given(steps, st.integers(0, 5))
-def test_a_reader_sees_every_event_in_order(
+def test_a_reader_gets_every_event_in_order(
     steps: list[tuple[str, bytes | int | None]], first: int
 ) -> None:
     log = ReplayLog(first, 12)
@@ -70,5 +70,5 @@
             position += len(events)
         assert log.end == first + len(written)
         assert log.first <= position
-        waiting = sum(map(len, written[position - first :]))
-        assert log.full == (waiting >= 12)
+        unread_bytes = sum(map(len, written[position - first :]))
+        assert log.full == (unread_bytes >= 12)
--- a/tests/test_request_path_machine.py
+++ b/tests/test_request_path_machine.py
@@ -1,9 +1,10 @@
-"""Long random runs over the whole request path, under every fault at once.
+"""Long random runs of the whole request path, with all kinds of faults combined.
 
-The checks live in ``Fleet.check`` and in the program (InvariantError): each request
-ends once, with the whole right answer or a typed problem; what is said not to have run
-never runs; a call that may not be repeated runs once at most; nothing new starts on an
-upstream that is leaving, or after its tombstone.
+``Fleet.check`` and the program's own checks (InvariantError) guard against these
+failures: a request ends never, twice, with a wrong answer or with an untyped error; a
+request runs after its caller got the answer that it did not run; a call that is not
+repeatable runs twice; an attempt starts on an upstream that is leaving, or after its
+tombstone.
 """
 
 from __future__ import annotations
@@ -28,12 +29,12 @@
     stateful_step_count=50 if SOAK else 20,
 )
 LONG_RUNS = 300 if SOAK else 12
-CALM_RUNS = 100 if SOAK else 8
+CONNECTION_FAULT_RUNS = 100 if SOAK else 8
 entries = st.sampled_from(ENTRIES)
 upstreams = st.sampled_from(UPSTREAMS)
 times = st.sampled_from([0.01, 0.1, 0.7, 3.0, 9.0, 70.0, 200.0])
 DEADLINES_S = (1.0, 3.0, 20.0, 20.0)
-kinds = st.sampled_from(["lots", "bids", "keyed"])
+call_kinds = st.sampled_from(["lots", "bids", "keyed"])
 
 
 @pytest.fixture(autouse=True)
@@ -45,21 +46,21 @@
 
 @pytest.fixture(autouse=True)
 def _own_upstream_calls() -> Iterator[None]:
-    """Give later tests the real calls back: a fleet puts its own in their place."""
+    """Restore the real ``UpstreamCall``, which a ``Fleet`` replaces."""
     real = upstream_run.UpstreamCall
     yield
     upstream_run.UpstreamCall = real  # type: ignore[misc]
 
 
 class RequestPath(RuleBasedStateMachine):
-    """Rules are requests, faults and stretches of time."""
+    """A state machine whose rules send requests, cause faults and let time pass."""
 
     def __init__(self) -> None:
         super().__init__()
         self.fleet = Fleet()
 
     @rule(seconds=times, seed=st.integers(0, 1000))
-    def calm(self, seconds: float, seed: int) -> None:
+    def run_without_faults(self, seconds: float, seed: int) -> None:
         self.fleet.rng.seed(seed)
         self.fleet.net.faults = Faults()
         self._pass(seconds)
@@ -73,14 +74,14 @@
         delay_s=st.sampled_from([0.02, 0.5, 4.0]),
         seed=st.integers(0, 1000),
     )
-    def storm(self, seconds: float, seed: int, **faults: float) -> None:
+    def run_with_faults(self, seconds: float, seed: int, **faults: float) -> None:
         self.fleet.rng.seed(seed)
         self.fleet.net.faults = Faults(**faults)
         self._pass(seconds)
 
     @rule(
         entry=entries,
-        kind=kinds,
+        kind=call_kinds,
         count=st.integers(1, 6),
         stream=st.booleans(),
         deadline_s=st.sampled_from(DEADLINES_S),
@@ -99,7 +100,7 @@
 
     @rule(entry=entries, which=st.integers(0, 5))
     def resend(self, entry: str, which: int) -> None:
-        """The same call under the same key, by way of any entry."""
+        """Send an earlier keyed call again, through any entry."""
         keyed = [c.subject for c in self.fleet.callers if c.job.idempotency_key]
         if keyed:
             subject = keyed[-1 - which % len(keyed)]
@@ -107,7 +108,7 @@
             self._pass(0.0)
 
     @rule(which=st.integers(0, 5))
-    def caller_goes(self, which: int) -> None:
+    def cancel_caller(self, which: int) -> None:
         waiting = [c for c in self.fleet.callers if not c.ends]
         if waiting:
             task = waiting[-1 - which % len(waiting)].task
@@ -115,25 +116,25 @@
             task.cancel()
             self._pass(0.0)
 
-    @rule(entry=entries, upstream=upstreams, told=st.sampled_from([0.0, 0.5, 1.0]))
-    def cut(self, entry: str, upstream: str, told: float) -> None:
+    @rule(entry=entries, upstream=upstreams, notified=st.sampled_from([0.0, 0.5, 1.0]))
+    def cut(self, entry: str, upstream: str, notified: float) -> None:
         ends = (self.fleet.entries[entry].incarnation_name, upstream)
-        self.fleet.net.cut(lambda channel: channel.ends == ends, told=told)
+        self.fleet.net.cut(lambda channel: channel.ends == ends, notified=notified)
 
     @rule(entry=entries, upstream=upstreams)
     def cut_off(self, entry: str, upstream: str) -> None:
-        """No connection comes about until cuts are mended."""
+        """Cut the connection and refuse new ones until ``restore_connections``."""
         ends = (self.fleet.entries[entry].incarnation_name, upstream)
         self.fleet.net.cuts.add(ends)
-        self.fleet.net.cut(lambda channel: channel.ends == ends, told=1.0)
+        self.fleet.net.cut(lambda channel: channel.ends == ends, notified=1.0)
 
     @rule()
-    def mend_cuts(self) -> None:
+    def restore_connections(self) -> None:
         self.fleet.net.cuts.clear()
 
     @rule(which=st.integers(0, 9))
     def connection_goes_silent(self, which: int) -> None:
-        """A new connection would work."""
+        """Stop all messages on one connection; new connections still work."""
         channels = self.fleet.net.open_channels()
         if channels:
             channels[which % len(channels)].held = []
@@ -143,7 +144,7 @@
         self.fleet.upstreams[upstream].silent = True
 
     @rule()
-    def upstreams_speak(self) -> None:
+    def end_upstream_silence(self) -> None:
         for upstream in self.fleet.upstreams.values():
             upstream.silent = False
 
@@ -167,15 +168,15 @@
         self.fleet.kill_entry(entry)
         self._pass(0.0)
 
-    @rule(upstream=upstreams, told=st.sampled_from([0.0, 1.0]))
-    def kill_sidecar(self, upstream: str, told: float) -> None:
+    @rule(upstream=upstreams, notified=st.sampled_from([0.0, 1.0]))
+    def kill_sidecar(self, upstream: str, notified: float) -> None:
         if self.fleet.sidecars[upstream].alive:
-            self.fleet.kill_sidecar(upstream, told=told)
+            self.fleet.kill_sidecar(upstream, notified=notified)
             self._pass(0.0)
 
-    @rule(upstream=upstreams, told=st.sampled_from([0.0, 1.0]))
-    def restart_sidecar(self, upstream: str, told: float) -> None:
-        self.fleet.kill_sidecar(upstream, told=told)
+    @rule(upstream=upstreams, notified=st.sampled_from([0.0, 1.0]))
+    def restart_sidecar(self, upstream: str, notified: float) -> None:
+        self.fleet.kill_sidecar(upstream, notified=notified)
         self.fleet.start_sidecar(upstream)
         self._pass(0.0)
 
@@ -190,9 +191,9 @@
         self._pass(0.0)
 
     @rule()
-    def upstreams_back_empty(self) -> None:
+    def restart_upstreams(self) -> None:
         for upstream in self.fleet.upstreams.values():
-            upstream.back()
+            upstream.restart()
 
     @rule(leaving=st.sets(upstreams, max_size=2))
     def mark_leaving(self, leaving: set[str]) -> None:
@@ -203,13 +204,13 @@
         self.fleet.control.down = down
 
     @rule()
-    def mend_all(self) -> None:
-        self.fleet.heal()
+    def end_all_faults(self) -> None:
+        self.fleet.end_all_faults()
         self._pass(2.0)
 
     @rule(seed=st.integers(0, 2**32))
     def many_faults(self, seed: int) -> None:
-        """A long schedule in one rule, deeper than generated rules go."""
+        """Run a random schedule that is longer than a generated sequence of rules."""
         random_schedule(self, random.Random(seed), 40)
 
     def teardown(self) -> None:
@@ -219,12 +220,12 @@
             self.fleet.close()
 
     def _pass(self, seconds: float) -> None:
-        self.fleet.calm(seconds)
+        self.fleet.run_for(seconds)
         self.fleet.check()
 
 
-def random_schedule(runs: RequestPath, rng: random.Random, count: int) -> None:
-    """Call ``count`` rules with random arguments, with time between them."""
+def random_schedule(machine: RequestPath, rng: random.Random, count: int) -> None:
+    """Call ``count`` rules with random arguments, and let time pass between them."""
 
     def entry() -> str:
         return rng.choice(ENTRIES)
@@ -235,10 +236,10 @@
     def ask() -> None:
         kind = rng.choice(["lots", "bids", "keyed"])
         count, stream = rng.randint(1, 4), rng.random() < 0.7
-        runs.ask(entry(), kind, count, stream, rng.choice(DEADLINES_S))
+        machine.ask(entry(), kind, count, stream, rng.choice(DEADLINES_S))
 
-    def storm() -> None:
-        runs.storm(
+    def run_with_faults() -> None:
+        machine.run_with_faults(
             rng.choice([0.1, 0.7, 3.0]),
             rng.randrange(1000),
             loss=rng.choice([0.0, 0.03, 0.3]),
@@ -248,124 +249,124 @@
             delay_s=rng.choice([0.02, 0.5, 4.0]),
         )
 
-    def calm() -> None:
-        runs.calm(
+    def run_without_faults() -> None:
+        machine.run_without_faults(
             rng.choice([0.1, 0.7, 0.7, 3.0, 9.0, 70.0, 200.0]), rng.randrange(1000)
         )
 
     def freeze_for_long() -> None:
-        """Requests that left before come when what was known of them is forgotten."""
+        """Deliver requests so late that sidecars have dropped their records of them."""
         name = entry()
         ask()
-        runs.freeze_entry(name)
-        runs.ask(name, "bids", 2, False, 20.0)
-        runs._pass(rng.choice([3.0, 90.0, 250.0]))
-        runs.thaw()
+        machine.freeze_entry(name)
+        machine.ask(name, "bids", 2, False, 20.0)
+        machine._pass(rng.choice([3.0, 90.0, 250.0]))
+        machine.thaw()
 
     def orphan_a_claim() -> None:
-        """Two callers at once come upon a claim whose attempt never ran."""
+        """Let two callers find a claim whose attempt never ran, at the same time."""
         name = entry()
-        runs.calm(0.1, rng.randrange(1000))
-        runs.ask(name, "keyed", 1, False, 20.0)
-        runs._pass(rng.choice([0.001, 0.002, 0.004]))
-        runs.kill_entry(name)
+        machine.run_without_faults(0.1, rng.randrange(1000))
+        machine.ask(name, "keyed", 1, False, 20.0)
+        machine._pass(rng.choice([0.001, 0.002, 0.004]))
+        machine.kill_entry(name)
         for other in rng.sample(ENTRIES, 2):
-            runs.resend(other, 0)
+            machine.resend(other, 0)
 
     def cut_in_a_crowd() -> None:
-        """Attempts that ran are followed by ones that full queues refuse."""
-        runs.calm(0.1, rng.randrange(1000))
+        """Cut connections under load: full queues refuse the attempts that follow."""
+        machine.run_without_faults(0.1, rng.randrange(1000))
         for name in ENTRIES:
-            runs.ask(name, "lots", 5, rng.random() < 0.5, 20.0)
-            runs._pass(0.02)
+            machine.ask(name, "lots", 5, rng.random() < 0.5, 20.0)
+            machine._pass(0.02)
         for name in rng.sample(ENTRIES, 2):
-            for one in UPSTREAMS:
-                runs.cut(name, one, 1.0)
-        runs._pass(0.1)
+            for cut_off in UPSTREAMS:
+                machine.cut(name, cut_off, 1.0)
+        machine._pass(0.1)
 
     def leave() -> None:
         repeats = Faults(repeat=1.0, delay_s=0.02)
         if rng.random() < 0.5:
-            runs.fleet.net.faults = repeats
-        runs.mark_leaving({upstream()})
+            machine.fleet.net.faults = repeats
+        machine.mark_leaving({upstream()})
         ask()
         if rng.random() < 0.5:
-            runs._pass(0.5)
-            runs.mark_leaving(set())
+            machine._pass(0.5)
+            machine.mark_leaving(set())
 
-    def told() -> float:
+    def notified() -> float:
         return rng.choice([0.0, 0.5, 1.0])
 
     steps = (
         *(ask,) * 8,
-        *(storm,) * 4,
-        *(calm,) * 4,
-        *(runs.mend_all,) * 2,
-        *(lambda: runs.resend(entry(), rng.randrange(6)),) * 3,
-        lambda: runs.ask_as_stranger(entry(), rng.randrange(6)),
-        lambda: runs.caller_goes(rng.randrange(6)),
-        lambda: runs.cut(entry(), upstream(), told()),
-        lambda: runs.cut_off(entry(), upstream()),
-        runs.mend_cuts,
-        runs.mend_cuts,
-        lambda: runs.connection_goes_silent(rng.randrange(10)),
-        lambda: runs.upstream_goes_silent(upstream()),
-        runs.upstreams_speak,
-        runs.upstreams_speak,
-        lambda: runs.freeze_entry(entry()),
-        lambda: runs.freeze_sidecar(upstream()),
-        *(runs.thaw, runs.thaw, runs.thaw),
-        lambda: runs.kill_entry(entry()),
-        lambda: runs.kill_sidecar(upstream(), told()),
-        *(lambda: runs.restart_sidecar(upstream(), told()),) * 3,
-        lambda: runs.shut_sidecar(upstream()),
-        lambda: runs.kill_upstream(upstream()),
-        *(runs.upstreams_back_empty, runs.upstreams_back_empty),
+        *(run_with_faults,) * 4,
+        *(run_without_faults,) * 4,
+        *(machine.end_all_faults,) * 2,
+        *(lambda: machine.resend(entry(), rng.randrange(6)),) * 3,
+        lambda: machine.ask_as_stranger(entry(), rng.randrange(6)),
+        lambda: machine.cancel_caller(rng.randrange(6)),
+        lambda: machine.cut(entry(), upstream(), notified()),
+        lambda: machine.cut_off(entry(), upstream()),
+        machine.restore_connections,
+        machine.restore_connections,
+        lambda: machine.connection_goes_silent(rng.randrange(10)),
+        lambda: machine.upstream_goes_silent(upstream()),
+        machine.end_upstream_silence,
+        machine.end_upstream_silence,
+        lambda: machine.freeze_entry(entry()),
+        lambda: machine.freeze_sidecar(upstream()),
+        *(machine.thaw, machine.thaw, machine.thaw),
+        lambda: machine.kill_entry(entry()),
+        lambda: machine.kill_sidecar(upstream(), notified()),
+        *(lambda: machine.restart_sidecar(upstream(), notified()),) * 3,
+        lambda: machine.shut_sidecar(upstream()),
+        lambda: machine.kill_upstream(upstream()),
+        *(machine.restart_upstreams, machine.restart_upstreams),
         *(leave,) * 2,
         freeze_for_long,
         orphan_a_claim,
         *(cut_in_a_crowd,) * 2,
-        lambda: runs.mark_leaving(set()),
-        lambda: runs.control_reachable(rng.random() < 0.3),
-        lambda: runs.control_reachable(False),
+        lambda: machine.mark_leaving(set()),
+        lambda: machine.control_reachable(rng.random() < 0.3),
+        lambda: machine.control_reachable(False),
     )
     for _ in range(count):
         rng.choice(steps)()
 
 
-def test_every_request_ends_once_and_rightly_under_any_faults() -> None:
+def test_every_request_ends_once_and_correctly_under_any_faults() -> None:
     run_state_machine_as_test(RequestPath, settings=RUNS)
 
 
-@pytest.mark.parametrize("seed", range(CALM_RUNS))
-def test_cuts_and_silence_of_connections_alone_cost_no_answer(seed: int) -> None:
-    """All processes are well, so whatever was asked comes to its whole answer."""
+@pytest.mark.parametrize("seed", range(CONNECTION_FAULT_RUNS))
+def test_no_answer_is_lost_if_only_connections_fail(seed: int) -> None:
+    """All processes work, so each request must get its complete answer."""
     rng = random.Random(seed)
     fleet = Fleet(seed)
     fleet.work.work_s = (0.02, 0.3)
     for _ in range(12):
         kind = rng.choice(["lots", "bids", "keyed"])
         fleet.ask(rng.choice(ENTRIES), kind, stream=rng.random() < 0.7)
-        fleet.calm(rng.choice([0.01, 0.1, 0.5]))
+        fleet.run_for(rng.choice([0.01, 0.1, 0.5]))
         for channel in fleet.net.open_channels():
             if rng.random() < 0.3:
                 fleet.net.cut(
-                    lambda one, cut=channel: one is cut, told=rng.choice([0, 1])
+                    lambda other, cut=channel: other is cut, notified=rng.choice([0, 1])
                 )
             elif channel.connected and rng.random() < 0.2:
                 channel.held = []
-        fleet.calm(8.0)
+        fleet.run_for(8.0)
         fleet.check()
     fleet.finish()
     fleet.close()
     for caller in fleet.callers:
-        assert caller.ends == ["whole"], caller
+        assert caller.ends == ["complete"], caller
 
 
 @pytest.mark.parametrize("seed", range(LONG_RUNS))
-def test_long_schedules_of_faults_leave_every_promise_kept(seed: int) -> None:
-    runs = RequestPath()
+def test_long_schedules_of_faults_violate_no_guarantee(seed: int) -> None:
+    machine = RequestPath()
     try:
-        random_schedule(runs, random.Random(seed), 120)
+        random_schedule(machine, random.Random(seed), 120)
     finally:
-        runs.teardown()
+        machine.teardown()
