--- a/gooseberrydale/request/members.py
+++ b/gooseberrydale/request/members.py
@@ -32,7 +32,7 @@
         self._model = model
         self._source: tuple[UpstreamRecord, ...] = ()
         self._digests: dict[str, int] = {}
-        self._homes: OrderedDict[bytes, tuple[str, ...]] = OrderedDict()
+        self._preferred: OrderedDict[bytes, tuple[str, ...]] = OrderedDict()
         self.by_name: dict[str, UpstreamRecord] = {}
         self.names: list[str] = []
 
@@ -69,7 +69,7 @@
         self.names = sorted(self.by_name)
         if self.by_name.keys() != self._digests.keys():
             self._digests = {name: _digest(name.encode()) for name in self.names}
-            self._homes.clear()
+            self._preferred.clear()
 
     def first_among(self, names: Sequence[str], prefix: bytes) -> str:
         """Return the name with the highest rendezvous weight for ``prefix``."""
@@ -79,14 +79,14 @@
 
     def homes(self, prefix: bytes) -> tuple[str, ...]:
         """Return the names with the highest rendezvous weights, highest first."""
-        names = self._homes.get(prefix)
+        names = self._preferred.get(prefix)
         if names is not None:
-            self._homes.move_to_end(prefix)
+            self._preferred.move_to_end(prefix)
             return names
         names = self._rank(prefix)
-        self._homes[prefix] = names
-        if len(self._homes) > KEPT_PREFIXES:
-            self._homes.popitem(last=False)
+        self._preferred[prefix] = names
+        if len(self._preferred) > KEPT_PREFIXES:
+            self._preferred.popitem(last=False)
         return names
 
     def _rank(self, prefix: bytes) -> tuple[str, ...]:
