--- a/tests/test_attempt_end.py
+++ b/tests/test_attempt_end.py
@@ -47,7 +47,10 @@
         "budget": RetryBudget(),
         "now": 0.0,
     }
-    return after_end(Sends(sends, runs, end), **{**kwargs, **changed})  # type: ignore
+    return after_end(
+        Sends(sends, runs, end),
+        **{**kwargs, **changed},  # type: ignore
+    )
 
 
 @pytest.mark.parametrize("case", CASES)
