--- a/gooseberrydale/request/members.py
+++ b/gooseberrydale/request/members.py
@@ -20,8 +20,8 @@
 RANKED_HOMES = 64
 KEPT_PREFIXES = 4_096
 FLOOR_FACTOR = 2.5
-"""How many names are expected above the weight floor, in multiples of
-``RANKED_HOMES``; larger than 1, so that there are seldom too few."""
+"""How many names are expected above the weight floor, per name wanted; greater than 1,
+so that there are rarely too few."""
 _MIX = 0x9E3779B97F4A7C15
 _MASK = (1 << 64) - 1
 
