--- a/gooseberrydale/request/attached.py
+++ b/gooseberrydale/request/attached.py
@@ -33,8 +33,8 @@
     """The attempt to attach to, and the ``offset`` of the first event to read.
 
     ``upstream`` is the sidecar's name.  ``profile`` is the name to write into the
-    answer; if empty, the answer is not rewritten.  ``streamed`` says whether the
-    caller asked for a stream.  ``attempt`` is None if its number is not known.
+    answer; if empty, an unstreamed answer is not rewritten.  ``streamed`` says whether
+    the caller asked for a stream.  ``attempt`` is None if its number is not known.
     """
 
     endpoint: Endpoint
--- a/gooseberrydale/request/attempt_end.py
+++ b/gooseberrydale/request/attempt_end.py
@@ -3,8 +3,8 @@
 Pure.  The decision depends on whether the request may have run and whether it may run
 again.  A request that is not repeatable is sent again only if the upstream states that
 it did not run it, or if it was not sent.  Each further send takes a token from the
-pool's retry budget, unless the previous one failed to connect, because then
-upstreams do not receive the request twice.
+pool's retry budget, unless the previous one failed to connect: then no upstream has
+received the request twice.
 """
 
 from __future__ import annotations
