--- a/gooseberrydale/request/gateway_call.py
+++ b/gooseberrydale/request/gateway_call.py
@@ -20,7 +20,8 @@
 class PromptPart:
     """A section of a prompt that other requests may share.
 
-    ``key`` identifies the prompt from its beginning to the end of this section.
+    The parts of a prompt are nested in order: a part can be shared only together with
+    all parts before it.  ``key`` identifies the part.
     """
 
     key: str
