--- a/gooseberrydale/version/acknowledgements.py
+++ b/gooseberrydale/version/acknowledgements.py
@@ -1,9 +1,9 @@
-"""Which revision is in force at which process, by what the processes tell.
+"""Tracks which configuration revision each process has acknowledged.
 
-Lives as long as the process and is rebuilt from the mesh after a restart.  A
-process that fell silent stays on the list for a while, since nobody knows what it
-has in force; after that it counts as gone.  The module reads no clock: ``now`` is
-loop time in seconds.
+The state is kept in memory and rebuilt from the mesh after a restart.  A process
+that stops reporting stays listed for ``FORGET_AFTER_S``, because it may still be
+running an old revision; after that it is assumed to have ended.  The module reads
+no clock: ``now`` is loop time in seconds.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Standing:
-    """What one process told last, and when."""
+    """The last status that a process reported, and when it was received."""
 
     role: str
     name: str
@@ -28,39 +28,42 @@
 
 
 class Acknowledgements:
-    """The newest word of each process."""
+    """The latest revision status of each process."""
 
     def __init__(self) -> None:
-        self._standings: dict[tuple[str, str], Standing] = {}
-        self._complete_at = math.inf
+        self._statuses: dict[tuple[str, str], Standing] = {}
+        self._grace_ends_at = math.inf
 
     def start(self, now: float) -> None:
-        """Begin to listen; until processes had time to join, the list is partial."""
-        self._complete_at = now + SETTLE_S
+        """Start the grace period in which processes connect and the list is partial."""
+        self._grace_ends_at = now + SETTLE_S
 
     def in_force_everywhere(self, revision: int, now: float) -> bool:
-        """Whether every process has told ``revision``, as far as can be known."""
-        return now >= self._complete_at and not self.behind(revision, now)
-
-    def heard(self, standing: Standing) -> None:
-        """Take in what a process told; a word of an earlier incarnation is dropped."""
-        key = (standing.role, standing.name)
-        known = self._standings.get(key)
-        if known is not None and standing.incarnation < known.incarnation:
+        """Whether every listed process has ``revision`` or a higher one in force.
+
+        Always False during the grace period after :meth:`start`.
+        """
+        return now >= self._grace_ends_at and not self.behind(revision, now)
+
+    def heard(self, status: Standing) -> None:
+        """Record a status; statuses of an earlier incarnation are ignored."""
+        key = (status.role, status.name)
+        known = self._statuses.get(key)
+        if known is not None and status.incarnation < known.incarnation:
             return
-        self._standings[key] = standing
+        self._statuses[key] = status
 
     def all(self, now: float) -> list[Standing]:
-        """Every process that is not known to be gone, by role and name."""
-        gone = [
+        """All statuses that have not expired, sorted by role and name."""
+        expired = [
             key
-            for key, standing in self._standings.items()
-            if standing.heard_at + FORGET_AFTER_S <= now
+            for key, status in self._statuses.items()
+            if status.heard_at + FORGET_AFTER_S <= now
         ]
-        for key in gone:
-            del self._standings[key]
-        return [standing for _, standing in sorted(self._standings.items())]
+        for key in expired:
+            del self._statuses[key]
+        return [status for _, status in sorted(self._statuses.items())]
 
     def behind(self, revision: int, now: float) -> list[Standing]:
-        """The processes that have not told ``revision`` or a higher one."""
-        return [known for known in self.all(now) if known.revision < revision]
+        """The processes whose last reported revision is below ``revision``."""
+        return [status for status in self.all(now) if status.revision < revision]
--- a/gooseberrydale/version/audit.py
+++ b/gooseberrydale/version/audit.py
@@ -1,7 +1,7 @@
 """The audit trail: who tried to change what, when, and with which outcome.
 
-Part of the replicated control state, so it lives as long as the log.  Refused
-attempts are entered too.  The trail is bounded; the oldest entries go first.
+The trail is part of the replicated control state.  It also records refused
+attempts.  Its size is bounded: the oldest entries are dropped first.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 @message
 @dataclass(frozen=True, slots=True)
 class AuditEntry:
-    """One attempt on one thing.
+    """One attempt to change one profile, workspace, upstream or other object.
 
-    ``before`` and ``after`` are JSON texts, empty where there was or is nothing;
-    ``after`` of a refused attempt is what was asked for.  ``outcome`` is
-    ``accepted``, ``resent`` for one that was answered before, or the refusal's code.
-    ``wall_s`` is in Unix seconds.
+    ``before`` and ``after`` are JSON texts, empty if the object did not or does not
+    exist; for a refused attempt ``after`` is the requested content.  ``outcome`` is
+    ``accepted``, ``resent`` for a repeated request that got its stored answer, or
+    the error code of the refusal.  ``wall_s`` is in Unix seconds.
     """
 
     number: int
@@ -54,7 +54,7 @@
 
     @property
     def entries(self) -> tuple[AuditEntry, ...]:
-        """All kept entries, oldest first."""
+        """All retained entries, oldest first."""
         return tuple(self._entries)
 
     def newest(self, count: int) -> list[AuditEntry]:
@@ -75,7 +75,7 @@
         before: str = "",
         after: str = "",
     ) -> None:
-        """Write one entry and drop the oldest beyond ``keep``."""
+        """Append an entry and drop the oldest ones beyond ``keep`` entries."""
         self._last += 1
         entry = AuditEntry(
             number=self._last,
--- a/gooseberrydale/version/change.py
+++ b/gooseberrydale/version/change.py
@@ -1,8 +1,9 @@
-"""Applies edits to one revision of the declarations and remembers change ids.
+"""Applies edits to the declarations and caches the reply to each change id.
 
 Part of the replicated control state.  A change is compare-and-set: it takes effect
-only on the revision it was made for.  Its id is remembered with its content and
-answer, so that a resend gets the answer of the first time, and nothing else does.
+only on the revision that it was made for.  The reply is stored with the change id
+and a digest of the content, so a resent change gets its first reply, and another
+change under the same id is refused.
 """
 
 from __future__ import annotations
@@ -46,32 +47,36 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Remembered:
-    """What was answered to a change id; ``reply`` is the encoded message."""
+    """The reply that was given to a change id, as an encoded message.
+
+    ``content`` is the digest of the request that got it.
+    """
 
     change_id: str
     content: bytes
     reply: bytes
 
 
-class ChangeMemory:
-    """The newest change ids with their answers."""
+class ReplyCache:
+    """The most recent change ids with their replies."""
 
     def __init__(self, items: tuple[Remembered, ...] = ()) -> None:
         self._items = {item.change_id: item for item in items}
 
     @property
     def items(self) -> tuple[Remembered, ...]:
-        """All remembered changes, oldest first."""
+        """All cached replies, oldest first."""
         return tuple(self._items.values())
 
     def get(self, change_id: str) -> Remembered | None:
-        """Return what was answered to ``change_id``, if it is still known."""
+        """Return the cached reply to ``change_id``, if any."""
         return self._items.get(change_id)
 
     def add(self, item: Remembered, keep: int) -> None:
-        """Remember one more and forget the oldest beyond ``keep``.
+        """Store a reply and drop the oldest ones beyond ``keep``.
 
-        A forgotten change can't run twice: its base is no longer in force.
+        A change whose reply was dropped can't be applied twice, because its base
+        revision is no longer in force.
         """
         self._items[item.change_id] = item
         while len(self._items) > keep:
@@ -79,11 +84,11 @@
 
 
 def content_digest(req: ChangeReq | PlaceOrderReq) -> bytes:
-    """Digest of what a request asks for, its author included.
+    """Digest of a request's content, including its operator.
 
-    The base is left out: who resends a change after a lost answer has often read
-    the configuration again, which may already hold that very change.  So is whether
-    an order's upstream was announced at the time.
+    The base revision is left out: an operator who resends a change after a lost
+    reply has often read the configuration again, which may already contain that
+    change.  Whether an order's upstream was announced at the time is left out, too.
     """
     if isinstance(req, ChangeReq):
         req = replace(req, base=0)
@@ -93,7 +98,7 @@
 
 
 def evaluate(config: Config, req: ChangeReq) -> Result[Config, Problem]:
-    """Return the configuration that ``req`` makes of ``config``, or why not."""
+    """Return ``config`` with ``req`` applied, or why it is refused."""
     if req.base > config.revision:
         return Err(
             problem(REVISION_FROM_FUTURE, base=req.base, current=config.revision)
@@ -104,42 +109,45 @@
 
 
 def apply_edits(config: Config, edits: tuple[Edit, ...]) -> Result[Config, Problem]:
-    """Return the next revision with all edits made; refuse all or none."""
+    """Return the next revision with all edits applied, or refuse them all."""
     if not 0 < len(edits) <= MAX_EDITS:
         reason = f"a change has 1 to {MAX_EDITS} edits, not {len(edits)}"
         return Err(problem(INVALID_DECLARATION, reason=reason))
     draft = _Draft(config)
     for edit in edits:
-        draft.take(edit)
+        draft.apply(edit)
     changed = draft.config()
     faults = draft.faults + [str(fault) for fault in config_faults(changed)]
     if faults:
-        return Err(problem(INVALID_DECLARATION, reason=joined(faults)))
+        return Err(problem(INVALID_DECLARATION, reason=join_faults(faults)))
     return Ok(changed)
 
 
-def joined(faults: list[str]) -> str:
-    """All faults in one text, cut off where nobody reads on."""
+def join_faults(faults: list[str]) -> str:
+    """Join faults to one text of at most ``MAX_SHOWN_FAULTS`` faults."""
     shown_faults = faults[:MAX_SHOWN_FAULTS]
-    more = len(faults) - len(shown_faults)
-    if more:
-        shown_faults.append(f"and {more} more")
+    omitted = len(faults) - len(shown_faults)
+    if omitted:
+        shown_faults.append(f"and {omitted} omitted")
     return "; ".join(shown_faults)
 
 
-def shown(config: Config, edit: Edit) -> str:
-    """What ``config`` holds of the thing that ``edit`` is about, as JSON text."""
+def current_text(config: Config, edit: Edit) -> str:
+    """The current content of the object that ``edit`` changes, as JSON text.
+
+    Empty if ``config`` does not contain it.
+    """
     name = edit_name(edit)
     if edit.kind in (EditKind.APPLY_PROFILE, EditKind.RETIRE_PROFILE):
-        found = config.profiles.get(name)
-        return "" if found is None else msgspec.json.encode(found).decode()
+        profile = config.profiles.get(name)
+        return "" if profile is None else msgspec.json.encode(profile).decode()
     if edit.kind in (EditKind.APPLY_WORKSPACE, EditKind.RETIRE_WORKSPACE):
-        return _shown_workspace(config, name)
+        return _current_workspace(config, name)
     return "leaving" if name in config.leaving else ""
 
 
-def asked(edit: Edit) -> str:
-    """What ``edit`` asks for, as JSON text; empty where it takes away."""
+def requested_text(edit: Edit) -> str:
+    """The content that ``edit`` requests, as JSON text; empty for a removal."""
     if edit.kind is EditKind.APPLY_PROFILE and edit.profile is not None:
         return msgspec.json.encode(edit.profile).decode()
     if edit.kind is EditKind.APPLY_WORKSPACE and edit.workspace is not None:
@@ -148,7 +156,7 @@
 
 
 def edit_name(edit: Edit) -> str:
-    """The name of the profile, workspace or upstream that ``edit`` is about."""
+    """The name of the profile, workspace or upstream that ``edit`` changes."""
     if edit.profile is not None:
         return edit.profile.name
     if edit.workspace is not None:
@@ -156,24 +164,25 @@
     return edit.name
 
 
-def refusal(config: Config, refused: Problem) -> ChangeReply:
-    """The answer to a change that was not made."""
+def refusal_reply(config: Config, refused: Problem) -> ChangeReply:
+    """The reply to a change that was refused."""
     return ChangeReply(revision=config.revision, problem=refused)
 
 
-def _shown_workspace(config: Config, name: str) -> str:
+def _current_workspace(config: Config, name: str) -> str:
     workspace = config.workspaces.get(name)
     return "" if workspace is None else _workspace_text(workspace)
 
 
 def _workspace_text(workspace: Workspace) -> str:
-    # The trail shows which keys there are, not enough to look one up.
+    # The audit trail shows only a prefix of each key digest: enough to tell keys
+    # apart, too little to look one up.
     digests = tuple(digest[:SHOWN_DIGEST_CHARS] for digest in workspace.key_digests)
     return msgspec.json.encode(replace(workspace, key_digests=digests)).decode()
 
 
 class _Draft:
-    """The declarations while edits are made one by one."""
+    """A mutable copy of the declarations to which edits are applied in order."""
 
     def __init__(self, config: Config) -> None:
         self._base = config
@@ -181,7 +190,7 @@
         self._workspaces = dict(config.workspaces)
         self._leaving = set(config.leaving)
         self.faults: list[str] = []
-        self._takers: dict[EditKind, Callable[[Edit], None]] = {
+        self._appliers: dict[EditKind, Callable[[Edit], None]] = {
             EditKind.APPLY_PROFILE: self._apply_profile,
             EditKind.RETIRE_PROFILE: self._retire_profile,
             EditKind.APPLY_WORKSPACE: self._apply_workspace,
@@ -190,8 +199,8 @@
             EditKind.UNMARK_LEAVING: self._unmark_leaving,
         }
 
-    def take(self, edit: Edit) -> None:
-        self._takers[edit.kind](edit)
+    def apply(self, edit: Edit) -> None:
+        self._appliers[edit.kind](edit)
 
     def config(self) -> Config:
         return replace(
@@ -204,7 +213,7 @@
 
     def _apply_profile(self, edit: Edit) -> None:
         if edit.profile is None:
-            self.faults.append("apply_profile: give the profile")
+            self.faults.append("apply_profile: the edit has no profile; set one")
             return
         self.faults.extend(map(str, profile_faults(edit.profile)))
         self._profiles[edit.profile.name] = edit.profile
@@ -215,7 +224,7 @@
 
     def _apply_workspace(self, edit: Edit) -> None:
         if edit.workspace is None:
-            self.faults.append("apply_workspace: give the workspace")
+            self.faults.append("apply_workspace: the edit has no workspace; set one")
             return
         self.faults.extend(map(str, workspace_faults(edit.workspace)))
         self._workspaces[edit.workspace.name] = edit.workspace
@@ -228,7 +237,9 @@
 
     def _mark_leaving(self, edit: Edit) -> None:
         if not NAME_PATTERN.fullmatch(edit.name):
-            self.faults.append("mark_leaving: name the upstream")
+            self.faults.append(
+                f"mark_leaving: {edit.name!r} is not a valid upstream name"
+            )
         if len(self._leaving) >= MAX_LEAVING:
             self.faults.append(
                 f"{MAX_LEAVING} upstreams are marked as leaving; unmark some first"
--- a/gooseberrydale/version/claims.py
+++ b/gooseberrydale/version/claims.py
@@ -1,10 +1,10 @@
-"""Claims of calls that may not be repeated, one for each Idempotency-Key.
+"""Claims that let a non-repeatable call run at most once per Idempotency-Key.
 
-Part of the replicated control state.  A claim names the one attempt that may run.
-It passes to another attempt only after the sidecar has confirmed that the first
-one never ran and never will; a finished claim never changes.  Claims expire by
-committed time.  The table never drops a claim early: when it is full it refuses
-new ones, since a forgotten claim could let a call run twice.
+Part of the replicated control state.  A claim names the only attempt that may run.
+It moves to another attempt only after the sidecar has confirmed with a tombstone
+that the first one never ran and never will; a finished claim never changes.  Claims
+expire by committed time.  A full table refuses new claims and never drops one
+before it expires, because a call whose claim is missing could run twice.
 """
 
 from __future__ import annotations
@@ -39,31 +39,31 @@
 MAX_HEADER_BYTES = 8_192
 MIN_RETRY_AFTER_S = 1.0
 
-_Key = tuple[str, str]
+_ClaimKey = tuple[str, str]
 
 
 class ClaimTable:
-    """All claims, in the order in which they expire."""
+    """All claims, ordered by expiry."""
 
     def __init__(self, records: tuple[ClaimRecord, ...] = ()) -> None:
-        self._records: dict[_Key, ClaimRecord] = {}
+        self._records: dict[_ClaimKey, ClaimRecord] = {}
         self._counts: Counter[str] = Counter()
-        self._bytes = 0
+        self._stored_bytes = 0
         for record in records:
-            self._put(record)
+            self._insert(record)
 
     def __len__(self) -> int:
         return len(self._records)
 
     @property
     def records(self) -> tuple[ClaimRecord, ...]:
-        """All claims, the first to expire first."""
+        """All claims, earliest expiry first."""
         return tuple(self._records.values())
 
     @property
-    def kept_bytes(self) -> int:
-        """Size of all kept answers in bytes."""
-        return self._bytes
+    def stored_bytes(self) -> int:
+        """Total size of all stored answers in bytes."""
+        return self._stored_bytes
 
     def next_expiry_s(self) -> float | None:
         """Committed time at which the next claim expires."""
@@ -71,7 +71,7 @@
         return None if first is None else first.expires_s
 
     def expire(self, now_s: float) -> None:
-        """Drop the claims whose time has passed."""
+        """Drop the claims that have expired by ``now_s``."""
         while self._records:
             key, record = next(iter(self._records.items()))
             if record.expires_s > now_s:
@@ -79,10 +79,10 @@
             self._drop(key)
 
     def claim(self, req: ClaimReq, now_s: float, limits: Limits) -> ClaimReply:
-        """Grant the key to the attempt, or tell what is committed under it."""
+        """Grant the key to the attempt, or return the claim that already holds it."""
         known = self._records.get((req.workspace, req.key))
         if known is not None:
-            return _answer_known(known, req)
+            return _reply_to_existing(known, req)
         if len(req.key) > MAX_KEY_CHARS:
             return ClaimReply(problem=problem(KEY_TOO_LONG, limit=MAX_KEY_CHARS))
         if self._is_full(req.workspace, limits):
@@ -94,11 +94,11 @@
             holder=req.holder,
             expires_s=now_s + limits.claim_ttl_s,
         )
-        self._put(record)
+        self._insert(record)
         return ClaimReply(granted=True, record=record)
 
     def move(self, req: MoveReq, now_s: float, limits: Limits) -> ClaimReply:
-        """Hand the claim from a tombstoned attempt to another one."""
+        """Move the claim from a tombstoned attempt to another attempt."""
         known = self._records.get((req.workspace, req.key))
         if known is None:
             return _refuse_unknown(req.key)
@@ -107,33 +107,33 @@
         if known.state is not ClaimState.RUNNING:
             return ClaimReply(record=known)
         if known.holder != req.old:
-            return ClaimReply(record=known, problem=_moved(known))
+            return ClaimReply(record=known, problem=_moved_problem(known))
         if not req.tombstone:
-            return ClaimReply(record=known, problem=_no_tombstone(req.old))
+            return ClaimReply(record=known, problem=_tombstone_problem(req.old))
         expires_s = now_s + limits.claim_ttl_s
         moved = replace(known, holder=req.new, expires_s=expires_s)
         self._replace(known, moved)
         return ClaimReply(granted=True, record=moved)
 
     def release(self, req: ReleaseReq) -> ClaimReply:
-        """Free the key of an attempt that never ran and never will."""
+        """Remove the claim of an attempt that was tombstoned, which frees its key."""
         known = self._records.get((req.workspace, req.key))
         if known is None:
             return ClaimReply()
         if known.state is not ClaimState.RUNNING or known.holder != req.holder:
-            return ClaimReply(record=known, problem=_moved(known))
+            return ClaimReply(record=known, problem=_moved_problem(known))
         if not req.tombstone:
-            return ClaimReply(record=known, problem=_no_tombstone(req.holder))
+            return ClaimReply(record=known, problem=_tombstone_problem(req.holder))
         self._drop((req.workspace, req.key))
         return ClaimReply()
 
     def finish(self, req: FinishReq, now_s: float, limits: Limits) -> ClaimReply:
-        """Record the answer; a second answer of the same attempt changes nothing."""
+        """Record the answer; a second answer from the same attempt is ignored."""
         known = self._records.get((req.workspace, req.key))
         if known is None:
             return _refuse_unknown(req.key)
         if known.holder != req.holder:
-            return ClaimReply(record=known, problem=_moved(known))
+            return ClaimReply(record=known, problem=_moved_problem(known))
         if known.state is not ClaimState.RUNNING:
             return ClaimReply(record=known)
         finished = self._finished(known, req, now_s + limits.claim_ttl_s, limits)
@@ -163,7 +163,7 @@
         if _header_bytes(req.headers) > MAX_HEADER_BYTES:
             return False
         size = len(req.body) + _header_bytes(req.headers)
-        return self._bytes + size <= limits.claim_total_bytes
+        return self._stored_bytes + size <= limits.claim_total_bytes
 
     def _is_full(self, workspace: str, limits: Limits) -> bool:
         if len(self._records) >= limits.claims:
@@ -179,39 +179,41 @@
     def _replace(self, old: ClaimRecord, new: ClaimRecord) -> None:
         check_successor(old, new)
         self._drop((old.workspace, old.key))
-        self._put(new)
+        self._insert(new)
 
-    def _put(self, record: ClaimRecord) -> None:
+    def _insert(self, record: ClaimRecord) -> None:
         key = (record.workspace, record.key)
         if key in self._records:
-            raise InvariantError(f"claim {record.key!r} would be granted a second time")
+            raise InvariantError(f"claim {record.key!r} would be granted twice")
         self._records[key] = record
         self._counts[record.workspace] += 1
-        self._bytes += _kept_bytes(record)
+        self._stored_bytes += _answer_bytes(record)
 
-    def _drop(self, key: _Key) -> None:
+    def _drop(self, key: _ClaimKey) -> None:
         record = self._records.pop(key)
         self._counts[record.workspace] -= 1
         if not self._counts[record.workspace]:
             del self._counts[record.workspace]
-        self._bytes -= _kept_bytes(record)
+        self._stored_bytes -= _answer_bytes(record)
 
 
 def check_successor(old: ClaimRecord, new: ClaimRecord) -> None:
-    """Raise InvariantError unless ``new`` may follow ``old``."""
+    """Raise InvariantError unless ``new`` is a valid next state of ``old``."""
     if old.state is not ClaimState.RUNNING:
         raise InvariantError(f"finished claim {old.key!r} would change")
     if new.digest != old.digest:
-        raise InvariantError(f"claim {old.key!r} would change its body")
+        raise InvariantError(f"claim {old.key!r} would change its request digest")
     if new.holder != old.holder and new.state is not ClaimState.RUNNING:
-        raise InvariantError(f"claim {old.key!r} would be finished by a stranger")
+        raise InvariantError(
+            f"claim {old.key!r} would be finished by an attempt that does not hold it"
+        )
 
 
-def _answer_known(known: ClaimRecord, req: ClaimReq) -> ClaimReply:
+def _reply_to_existing(known: ClaimRecord, req: ClaimReq) -> ClaimReply:
     if known.digest != req.digest:
         return ClaimReply(problem=problem(KEY_REUSED))
-    # The same attempt asks again because it lost the answer; the sidecar accepts
-    # each attempt once, so that granting it again starts nothing twice.
+    # The holder retries when the first reply was lost.  Granting it again is safe:
+    # the sidecar accepts each attempt only once.
     granted = known.state is ClaimState.RUNNING and known.holder == req.holder
     return ClaimReply(granted=granted, record=known)
 
@@ -220,7 +222,7 @@
     return ClaimReply(problem=problem(UNKNOWN_CLAIM, key=key, not_run=None))
 
 
-def _moved(known: ClaimRecord) -> Problem:
+def _moved_problem(known: ClaimRecord) -> Problem:
     holder = known.holder
     return problem(
         CLAIM_MOVED,
@@ -231,7 +233,7 @@
     )
 
 
-def _no_tombstone(holder: Holder) -> Problem:
+def _tombstone_problem(holder: Holder) -> Problem:
     return problem(
         TOMBSTONE_MISSING,
         not_run=None,
@@ -244,5 +246,5 @@
     return sum(len(name) + len(value) for name, value in headers)
 
 
-def _kept_bytes(record: ClaimRecord) -> int:
+def _answer_bytes(record: ClaimRecord) -> int:
     return len(record.body) + _header_bytes(record.headers)
--- a/gooseberrydale/version/config_store.py
+++ b/gooseberrydale/version/config_store.py
@@ -1,8 +1,8 @@
 """Holds the configuration in force in this process.
 
-Lives as long as the process.  Whoever receives a configuration offers it here;
-only one of a higher revision replaces the current one, so the revision in force
-never falls.  Tasks wait for the next revision instead of polling.
+Every configuration that the process receives is offered to its one store.  Only a
+higher revision replaces the current configuration, so the revision in force never
+decreases.  Tasks can wait for the next revision instead of polling.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class ConfigStore:
-    """The newest configuration that this process has seen."""
+    """The newest configuration that this process has received."""
 
     def __init__(self, config: Config | None = None) -> None:
         self._config = config if config is not None else Config()
@@ -31,7 +31,7 @@
         return self._config.revision
 
     def offer(self, config: Config) -> bool:
-        """Put ``config`` in force if it is newer; say whether it was."""
+        """Put ``config`` in force if it is newer; return whether it was."""
         if config.revision < self._config.revision:
             return False
         if config.revision == self._config.revision:
@@ -43,7 +43,7 @@
         return True
 
     async def wait_newer(self, revision: int) -> Config:
-        """Return once a revision above ``revision`` is in force."""
+        """Wait for a revision above ``revision`` and return its configuration."""
         while self._config.revision <= revision:
             await self._changed.wait()
         return self._config
@@ -51,6 +51,6 @@
     def _check_same(self, config: Config) -> None:
         if config != self._config:
             raise InvariantError(
-                f"two configurations carry revision {config.revision};"
+                f"two configurations have revision {config.revision} but differ;"
                 " compare the audit trails of the control replicas"
             )
--- a/gooseberrydale/version/control_state.py
+++ b/gooseberrydale/version/control_state.py
@@ -1,9 +1,9 @@
-"""The replicated state of control: a deterministic machine over the log.
+"""The replicated state of the control role: a deterministic state machine.
 
-Lives as long as the log; every replica applies the same entries in the same order
-and so holds the same state.  It reads no clock: time is the highest wall time that
-a committed entry carries, so that a deadline passes on all replicas at the same
-entry.  Its bounds are part of the state and change only through the log.
+Every replica applies the same log entries in the same order and so has the same
+state.  It reads no clock: the current time is the highest wall time in any committed
+entry, so a deadline passes on all replicas at the same entry.  The limits on its
+size are part of the state and change only through the log.
 """
 
 from __future__ import annotations
@@ -44,14 +44,14 @@
 from gooseberrydale.errors import CHANGE_ID_REUSED, InvariantError, Problem, problem
 from gooseberrydale.version.audit import ACCEPTED, RESENT, AuditEntry, AuditTrail
 from gooseberrydale.version.change import (
-    ChangeMemory,
+    ReplyCache,
     Remembered,
-    asked,
+    requested_text,
     content_digest,
     edit_name,
     evaluate,
-    refusal,
-    shown,
+    refusal_reply,
+    current_text,
 )
 from gooseberrydale.version.claims import ClaimTable
 from gooseberrydale.version.declarations import Config, Document, Profile, Workspace
@@ -63,7 +63,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ControlSnapshot:
-    """The whole state after the entry at ``index``."""
+    """The complete state after the entry at ``index`` was applied."""
 
     index: int
     now_s: float
@@ -86,7 +86,7 @@
 
 
 class ControlState:
-    """Declarations, orders, claims and the audit trail, as committed."""
+    """The committed declarations, orders, claims and audit trail."""
 
     def __init__(
         self, config: Config | None = None, limits: Limits | None = None
@@ -95,7 +95,7 @@
         self.now_s = 0.0
         self.limits = limits or Limits()
         self.config = config or Config()
-        self.memory = ChangeMemory()
+        self.replies = ReplyCache()
         self.audit = AuditTrail()
         self.orders = OrderBook()
         self.claims = ClaimTable()
@@ -113,30 +113,30 @@
             ReleaseReq: self._release,
             FinishReq: self._finish,
             SetLimitsReq: self._set_limits,
-            TickReq: self._tick,
-            NoteReq: self._note,
+            TickReq: self._advance_time,
+            NoteReq: self._add_note,
         }
 
     def apply(self, index: int, command: bytes) -> bytes:
         """Apply one committed :class:`Command`; return a :class:`CommandReply`.
 
-        Raises InvariantError for an entry that comes again or that this release
-        can't read: going on without it would make this replica differ.
+        Raises InvariantError for an entry that was already applied or that this
+        release can't decode: skipping it would make this replica diverge.
         """
         if index <= self.index:
-            raise InvariantError(f"entry {index} came after entry {self.index}")
-        entry = _read_command(index, command)
-        requests = [_read_request(index, data) for data in entry.requests]
+            raise InvariantError(f"log entry {index} applied after entry {self.index}")
+        entry = _decode_command(index, command)
+        requests = [_decode_request(index, data) for data in entry.requests]
         self.index = index
         self.now_s = max(self.now_s, entry.wall_s)
-        self._enter_cluster(entry.cluster)
+        self._skip_numbers_after_recovery(entry.cluster)
         self.claims.expire(self.now_s)
         self.orders.advance(self.now_s, self.limits)
         replies = tuple(encode(self._handle(req)) for req in requests)
         return encode(CommandReply(replies))
 
     def snapshot(self) -> bytes:
-        """Return the whole state; equal states give equal bytes."""
+        """Encode the complete state; equal states give equal bytes."""
         return encode(
             ControlSnapshot(
                 index=self.index,
@@ -146,7 +146,7 @@
                 profiles=tuple(self.config.profiles.values()),
                 workspaces=tuple(self.config.workspaces.values()),
                 leaving=tuple(sorted(self.config.leaving)),
-                remembered=self.memory.items,
+                remembered=self.replies.items,
                 audit=self.audit.entries,
                 audit_last=self.audit.last,
                 orders=self.orders.orders,
@@ -161,46 +161,49 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot, never by an older one."""
-        kept = decode(data)
-        if not isinstance(kept, ControlSnapshot):
+        """Replace the state by a snapshot; an older snapshot is an error."""
+        snapshot = decode(data)
+        if not isinstance(snapshot, ControlSnapshot):
             raise InvariantError(
-                "the snapshot is of another kind; check the data folder"
+                "the snapshot holds no control state; check the data folder"
             )
-        if kept.index < self.index:
+        if snapshot.index < self.index:
             raise InvariantError(
-                f"snapshot of entry {kept.index} came after entry {self.index}"
+                f"snapshot {snapshot.index} is older than applied entry {self.index}"
             )
-        self.index = kept.index
-        self.now_s = kept.now_s
-        self.limits = kept.limits
-        self._set_config(_config_of(kept))
-        self.memory = ChangeMemory(kept.remembered)
-        self.audit = AuditTrail(kept.audit, kept.audit_last)
+        self.index = snapshot.index
+        self.now_s = snapshot.now_s
+        self.limits = snapshot.limits
+        self._set_config(_snapshot_config(snapshot))
+        self.replies = ReplyCache(snapshot.remembered)
+        self.audit = AuditTrail(snapshot.audit, snapshot.audit_last)
         self.orders = OrderBook(
-            kept.orders, kept.order_last_id, kept.order_last_number, kept.fences
+            snapshot.orders,
+            snapshot.order_last_id,
+            snapshot.order_last_number,
+            snapshot.fences,
         )
-        self.claims = ClaimTable(kept.claims)
-        self.cluster = kept.cluster
+        self.claims = ClaimTable(snapshot.claims)
+        self.cluster = snapshot.cluster
 
     def try_out(self, req: ChangeReq) -> ChangeReply:
-        """Say what ``req`` would come to now, without making the change."""
+        """Return the reply that ``req`` would get now, without applying it."""
         match evaluate(self.config, req):
             case Ok(changed):
                 return ChangeReply(revision=changed.revision)
             case Err(refused):
-                return refusal(self.config, refused)
+                return refusal_reply(self.config, refused)
 
     def next_due_s(self) -> float | None:
-        """Committed time at which something lapses; None if nothing will."""
+        """Committed time at which the next order or claim expires, if any."""
         times = (self.orders.next_deadline_s(), self.claims.next_expiry_s())
         return min((time for time in times if time is not None), default=None)
 
-    def _enter_cluster(self, cluster: str) -> None:
-        """Leave numbers out when the log goes on as another cluster.
+    def _skip_numbers_after_recovery(self, cluster: str) -> None:
+        """Skip numbers if the log was recovered as another cluster.
 
         The recovery may have lost changes and orders that are in force elsewhere;
-        their numbers must not come again with another content.
+        their numbers must not be reused for other content.
         """
         if cluster and self.cluster and cluster != self.cluster:
             revision = self.config.revision + SKIPPED_AFTER_RECOVERY
@@ -212,16 +215,16 @@
         return self._handlers[type(req)](req)
 
     def _change(self, req: ChangeReq) -> ChangeReply:
-        known = self._known(req)
+        known = self._cached_reply(req)
         if isinstance(known, Err):
             self._audit_change(req, self.config, known.err_value.code)
-            return refusal(self.config, known.err_value)
+            return refusal_reply(self.config, known.err_value)
         if known.ok_value is not None:
             self._audit_change(req, self.config, RESENT)
             reply: ChangeReply = decode(known.ok_value)
             return reply
         reply = self._try_change(req)
-        self._remember(req, reply)
+        self._cache_reply(req, reply)
         return reply
 
     def _try_change(self, req: ChangeReq) -> ChangeReply:
@@ -233,28 +236,30 @@
                 return ChangeReply(revision=changed.revision)
             case Err(refused):
                 self._audit_change(req, before, refused.code)
-                return refusal(before, refused)
+                return refusal_reply(before, refused)
 
     def _declare(self, req: DeclareReq) -> Ack:
-        """A document that was overtaken, or sent again, changes nothing."""
-        held = self.config.document
-        if held is not None and req.document.number <= held.number:
+        """Put a document in force unless one with its number or a higher one is."""
+        current = self.config.document
+        if current is not None and req.document.number <= current.number:
             return Ack()
-        self._set_next(document=req.document)
+        self._commit_next_revision(document=req.document)
         self._audit_declared("declare", f"document {req.document.number}")
         return Ack()
 
     def _name_weights(self, req: NameWeightsReq) -> Ack:
         if req.version <= self.config.weights.get(req.model, 0):
             return Ack()
-        self._set_next(weights={**self.config.weights, req.model: req.version})
+        self._commit_next_revision(
+            weights={**self.config.weights, req.model: req.version}
+        )
         self._audit_declared("name_weights", f"{req.model} {req.version}")
         return Ack()
 
     def _read_document(self, _req: ReadDocumentReq) -> DocumentReply:
         return DocumentReply(document=self.config.document)
 
-    def _set_next(self, **changed: Any) -> None:
+    def _commit_next_revision(self, **changed: Any) -> None:
         revision = self.config.revision + 1
         self._set_config(replace(self.config, revision=revision, **changed))
 
@@ -282,27 +287,29 @@
                 change_id=req.change_id,
                 action=str(edit.kind),
                 name=edit_name(edit),
-                before=shown(before, edit),
-                after=asked(edit),
+                before=current_text(before, edit),
+                after=requested_text(edit),
                 outcome=outcome,
                 revision=self.config.revision,
             )
 
-    def _known(self, req: ChangeReq | PlaceOrderReq) -> Result[bytes | None, Problem]:
-        """The answer given before, None for a new id, or why the id can't be used."""
-        known = self.memory.get(req.change_id)
+    def _cached_reply(
+        self, req: ChangeReq | PlaceOrderReq
+    ) -> Result[bytes | None, Problem]:
+        """The cached reply, None for a new id, or why the id can't be used."""
+        known = self.replies.get(req.change_id)
         if known is None:
             return Ok(None)
         if known.content != content_digest(req):
             return Err(problem(CHANGE_ID_REUSED, change_id=req.change_id))
         return Ok(known.reply)
 
-    def _remember(self, req: ChangeReq | PlaceOrderReq, reply: Any) -> None:
+    def _cache_reply(self, req: ChangeReq | PlaceOrderReq, reply: Any) -> None:
         item = Remembered(req.change_id, content_digest(req), encode(reply))
-        self.memory.add(item, self.limits.change_ids)
+        self.replies.add(item, self.limits.change_ids)
 
     def _place_order(self, req: PlaceOrderReq) -> PlaceOrderReply:
-        known = self._known(req)
+        known = self._cached_reply(req)
         if isinstance(known, Err):
             self._audit_order(req, known.err_value.code)
             return PlaceOrderReply(problem=known.err_value)
@@ -311,7 +318,7 @@
             reply: PlaceOrderReply = decode(known.ok_value)
             return reply
         reply = self._try_order(req)
-        self._remember(req, reply)
+        self._cache_reply(req, reply)
         return reply
 
     def _try_order(self, req: PlaceOrderReq) -> PlaceOrderReply:
@@ -362,10 +369,10 @@
         self.orders.advance(self.now_s, self.limits)
         return Ack()
 
-    def _tick(self, _req: TickReq) -> Ack:
+    def _advance_time(self, _req: TickReq) -> Ack:
         return Ack()
 
-    def _note(self, req: NoteReq) -> Ack:
+    def _add_note(self, req: NoteReq) -> Ack:
         self.audit.add(
             keep=self.limits.audit_entries,
             wall_s=self.now_s,
@@ -379,33 +386,35 @@
 
 
 def check_revision(current: int, new: int) -> None:
-    """Raise InvariantError if the revision would fall."""
+    """Raise InvariantError if the revision would decrease."""
     if new < current:
-        raise InvariantError(f"revision would fall from {current} to {new}")
+        raise InvariantError(f"revision would decrease from {current} to {new}")
 
 
-def _config_of(kept: ControlSnapshot) -> Config:
+def _snapshot_config(snapshot: ControlSnapshot) -> Config:
     return Config(
-        revision=kept.revision,
-        profiles={profile.name: profile for profile in kept.profiles},
-        workspaces={workspace.name: workspace for workspace in kept.workspaces},
-        leaving=frozenset(kept.leaving),
-        document=kept.document,
-        weights=kept.weights,
+        revision=snapshot.revision,
+        profiles={profile.name: profile for profile in snapshot.profiles},
+        workspaces={workspace.name: workspace for workspace in snapshot.workspaces},
+        leaving=frozenset(snapshot.leaving),
+        document=snapshot.document,
+        weights=snapshot.weights,
     )
 
 
-def _read_command(index: int, data: bytes) -> Command:
-    entry = _read_request(index, data)
+def _decode_command(index: int, data: bytes) -> Command:
+    entry = _decode_request(index, data)
     if not isinstance(entry, Command):
-        raise InvariantError(f"entry {index} is no command; check the data folder")
+        raise InvariantError(
+            f"log entry {index} is not a Command; check the data folder"
+        )
     return entry
 
 
-def _read_request(index: int, data: bytes) -> Any:
+def _decode_request(index: int, data: bytes) -> Any:
     try:
         return decode(data)
     except CodecError as exc:
         raise InvariantError(
-            f"entry {index} is of a newer release; upgrade this replica"
+            f"log entry {index} can't be decoded; upgrade this replica"
         ) from exc
--- a/gooseberrydale/version/declaration_file.py
+++ b/gooseberrydale/version/declaration_file.py
@@ -1,8 +1,9 @@
-"""Declarations as operators keep them in version control: one TOML file.
+"""Reads declarations from a TOML file and compares them with a configuration.
 
-The file holds tables ``[profiles.NAME]`` and ``[workspaces.NAME]`` with the fields
-of the declarations.  A workspace without ``key_digests`` keeps the keys that it
-has, so that keys need not be in the file.  All functions are pure but ``load``.
+Operators keep the file in version control.  It has tables ``[profiles.NAME]`` and
+``[workspaces.NAME]`` with the fields of the declarations.  A workspace without
+``key_digests`` retains its current keys, so the file need not contain keys.  All
+functions except ``load`` are pure.
 """
 
 from __future__ import annotations
@@ -27,7 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Declarations:
-    """The contents of one file; ``keyless`` names workspaces without digests."""
+    """The contents of one file.
+
+    ``keyless`` names the workspaces that the file gives no key digests for.
+    """
 
     profiles: dict[str, Profile] = field(default_factory=dict)
     workspaces: dict[str, Workspace] = field(default_factory=dict)
@@ -36,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Difference:
-    """Edits that turn a configuration into what a file declares, and their text."""
+    """Edits that make a configuration match a file, and a readable diff of them."""
 
     edits: tuple[Edit, ...]
     lines: tuple[str, ...]
@@ -63,9 +67,9 @@
     profiles: dict[str, Profile] = {}
     workspaces: dict[str, Workspace] = {}
     for name, value in _named_tables(table, "profiles", faults):
-        _read_one(Profile, "profiles", name, value, profiles, faults)
+        _read_declaration(Profile, "profiles", name, value, profiles, faults)
     for name, value in _named_tables(table, "workspaces", faults):
-        _read_one(Workspace, "workspaces", name, value, workspaces, faults)
+        _read_declaration(Workspace, "workspaces", name, value, workspaces, faults)
     for profile in profiles.values():
         faults.extend(profile_faults(profile))
     for workspace in workspaces.values():
@@ -79,9 +83,10 @@
 def difference(
     config: Config, declared: Declarations, *, retire: bool = False
 ) -> Difference:
-    """Compare ``declared`` with ``config``; ``retire`` takes away what is not in it.
+    """Return the edits that make ``config`` match ``declared``.
 
-    Profiles are applied before and retired after the workspaces that name them.
+    With ``retire``, profiles and workspaces that ``declared`` lacks are retired.
+    Profiles are applied before the workspaces that name them, and retired after.
     """
     wanted = {
         name: _with_keys(workspace, config, declared)
@@ -127,14 +132,14 @@
         if item.name in ("name", KEYS_FIELD) or before == after:
             continue
         if old is None:
-            yield f"    {item.name}: {_shown(after)}"
+            yield f"    {item.name}: {_field_text(after)}"
         else:
-            yield f"    {item.name}: {_shown(before)} -> {_shown(after)}"
+            yield f"    {item.name}: {_field_text(before)} -> {_field_text(after)}"
     if isinstance(new, Workspace):
         yield from _key_lines(old, new)
 
 
-def _shown(value: object) -> str:
+def _field_text(value: object) -> str:
     return repr(str(value) if isinstance(value, Enum) else value)
 
 
@@ -158,33 +163,33 @@
 ) -> Iterator[tuple[str, Any]]:
     value = table.get(group, {})
     if not isinstance(value, dict):
-        faults.append(FieldFault(group, "is no table", f"write [{group}.NAME]"))
+        faults.append(FieldFault(group, "is not a table", f"write [{group}.NAME]"))
         return
     yield from value.items()
 
 
-def _read_one(
+def _read_declaration(
     cls: Any,
     group: str,
     name: str,
     value: Any,
-    found: dict[str, Any],
+    target: dict[str, Any],
     faults: list[FieldFault],
 ) -> None:
     key = f"{group}.{name}"
     if isinstance(value, dict) and "name" in value:
-        remedy = "remove it: the table's own name counts"
+        remedy = "remove it: the name is taken from the table header"
         faults.append(FieldFault(f"{key}.name", "is not a known key", remedy))
         return
     table = value | {"name": name} if isinstance(value, dict) else value
     match structure(table, cls):
-        case Ok(thing):
-            found[name] = thing
+        case Ok(declaration):
+            target[name] = declaration
         case Err(inner):
-            faults.extend(_prefixed(key, fault) for fault in inner)
+            faults.extend(_prefix_key(key, fault) for fault in inner)
 
 
-def _prefixed(key: str, fault: FieldFault) -> FieldFault:
+def _prefix_key(key: str, fault: FieldFault) -> FieldFault:
     return replace(fault, key=f"{key}.{fault.key}" if fault.key else key)
 
 
--- a/gooseberrydale/version/declarations.py
+++ b/gooseberrydale/version/declarations.py
@@ -1,8 +1,8 @@
-"""What operators declare: profiles, workspaces and leaving marks.
+"""Types of the operators' declarations: profiles, workspaces, leaving upstreams.
 
-A :class:`Config` is one committed revision of all declarations.  It is replicated
-by control and copied to every entry and sidecar; a process only ever replaces it
-by one of a higher revision.
+A :class:`Config` is one committed revision of all declarations.  Control replicates
+it and copies it to every entry and sidecar; a process replaces it only by a higher
+revision.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class ProfileKind(StrEnum):
-    """What stands behind a profile."""
+    """Whether a profile serves model completions or calls to a service."""
 
     COMPLETION = "completion"
     SERVICE = "service"
@@ -26,12 +26,12 @@
 class Profile:
     """How one class of traffic is served.
 
-    ``pool`` names the upstreams that serve it.  ``repeatable`` says whether a call
-    may run more than once.  ``deadline_s`` bounds the time to the first token (for
-    services: to the whole answer), in seconds.  ``waste_weight`` scales how much a
-    wasted recomputation counts against time to first token in routing: 0 favours
-    latency alone, 1 counts a recomputed token like a second wait for it.  Higher
-    ``priority`` runs first.
+    ``pool`` names the pool of upstreams.  ``repeatable`` says whether a call may run
+    more than once.  ``deadline_s`` bounds the time to the first token (for services:
+    to the complete answer), in seconds.  ``waste_weight`` scales the cost that routing
+    assigns to prompt tokens computed again, relative to time to first token: 0
+    considers latency only, 1 counts a recomputed token as if the caller waited for it
+    twice.  Higher ``priority`` runs first.
     """
 
     name: str
@@ -49,8 +49,8 @@
 class Workspace:
     """A customer: its share of upstream time and the digests of its API keys.
 
-    ``profiles`` names the profiles that it may call; empty means all of them.  Without
-    a ``quota``, or with one of 0 a second, it may use what it likes.
+    ``profiles`` names the profiles that it may call; empty means all of them.  Its use
+    is unlimited without a ``quota`` or with a quota of 0 per second.
     """
 
     name: str
@@ -61,17 +61,17 @@
 
     @property
     def limit(self) -> Quota | None:
-        """The quota, None if there is none or it limits nothing."""
+        """The quota, or None if use is unlimited."""
         return self.quota if self.quota is not None and self.quota.per_s > 0 else None
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class Document:
-    """A whole configuration as its operator wrote it.
+    """A complete configuration as its operator wrote it.
 
     Operators number their documents; the highest number is in force.  ``body`` is
-    kept as it was sent, so that it can be read back unchanged.
+    stored as it was sent, so it can be read back unchanged.
     """
 
     number: int
@@ -83,7 +83,8 @@
 class Config:
     """One revision of all declarations.
 
-    ``weights`` holds the version that each model shall be served with, by model.
+    ``weights`` maps each model to the version of its weights that engines should
+    serve.  ``leaving`` names the upstreams that are to receive no new work.
     """
 
     revision: int = 0
@@ -95,6 +96,8 @@
 
     @property
     def quotas(self) -> dict[str, Quota]:
-        """The quotas in force, by workspace; made anew at each call."""
-        limits = {one.name: one.limit for one in self.workspaces.values()}
+        """The quotas in force by workspace name; computed at each access."""
+        limits = {
+            workspace.name: workspace.limit for workspace in self.workspaces.values()
+        }
         return {name: limit for name, limit in limits.items() if limit is not None}
--- a/gooseberrydale/version/declared.py
+++ b/gooseberrydale/version/declared.py
@@ -1,7 +1,7 @@
-"""What a whole document declares: routes, pools, stores, limits and workspaces.
+"""Types of a decoded document: routes, pools, stores, limits and workspaces.
 
-Lives as long as one document is in force.  The form that operators write is up to the
-deployment; it is decoded into these types once, when a document arrives.
+Each deployment has its own format for documents; a document is decoded into these
+types once, when it is received.
 """
 
 from __future__ import annotations
@@ -13,7 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A pool that serves a part of a route's requests, by weight."""
+    """A pool that serves a fraction of a route's requests.
+
+    The fraction is ``weight`` over the sum of the weights of the route's shares.
+    """
 
     pool: str
     weight: float
@@ -21,14 +24,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """One class of requests, named by host and the beginning of the path.
-
-    A request that is not ``repeatable`` runs once at most; a ``streamed`` answer is a
-    series of events, and one that is ``resumable`` may go on at another upstream.  The
-    caller shall have its answer, or its first event, within ``objective_s``, with
-    pauses of ``gap_objective_s`` at most, and is kept for ``timeout_s`` at most.  At
-    most ``max_runs`` upstreams may run a request.  Rank 0 of ``priority`` goes first.
-    A ``public`` route needs no key.
+    """One class of requests, selected by host and path prefix.
+
+    A request that is not ``repeatable`` runs at most once.  A ``streamed`` answer is a
+    series of events; a ``resumable`` stream may continue at another upstream.  The
+    objectives are that the answer, or its first event, arrives within ``objective_s``
+    and that gaps between events stay below ``gap_objective_s``.  A request is ended
+    after ``timeout_s``.  At most ``max_runs`` upstreams may run a request.
+    ``priority`` 0 is served first.  A ``public`` route needs no key.
     """
 
     name: str
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineSize:
-    """What one model engine of a pool holds: requests at once, tokens of memory."""
+    """Capacity of one model engine: concurrent requests and KV cache tokens."""
 
     slots: int
     kv_tokens: int
@@ -56,7 +59,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pool:
-    """Upstreams that serve the same requests; ``engine`` if they are model engines."""
+    """Upstreams that serve the same requests.
+
+    ``engine`` is set if they are model engines.
+    """
 
     name: str
     max_connections: int
@@ -65,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KvStoreDecl:
-    """A store of kept KV cache."""
+    """A store that holds saved KV cache blocks."""
 
     name: str
     address: str
@@ -74,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take, in bytes and seconds."""
+    """Limits on the size and duration of what a caller sends."""
 
     head_bytes: int = 16 * 1024
     body_bytes: int = 8 * 1024 * 1024
@@ -84,10 +90,11 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyHolder:
-    """A workspace with its keys; what is computed for an ``isolated`` one stays there.
+    """A workspace and its API keys.
 
-    Its ``priority``, if it has one, goes before that of the route.  Without a ``quota``
-    it may use what it likes.
+    Cache content computed for an ``isolated`` workspace is not shared with others.
+    ``priority``, if set, overrides that of the route.  Without a ``quota`` use is
+    unlimited.
     """
 
     name: str
@@ -99,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Declared:
-    """One whole document; ``workspaces`` is None if callers need no keys."""
+    """One decoded document; ``workspaces`` is None if callers need no keys."""
 
     number: int
     routes: tuple[Route, ...]
--- a/gooseberrydale/version/fencing.py
+++ b/gooseberrydale/version/fencing.py
@@ -1,8 +1,8 @@
-"""Refuses orders that carry an old fencing number.
+"""Refuses orders with an outdated fencing number, in the sidecar of an upstream.
 
-Lives as long as the sidecar.  Pure.  It is the check for upstreams that do not check
-by themselves, and stands before those that do.  After a restart no order passes
-before the highest number issued so far was learned from a quorum of control.
+The check applies to all upstreams, whether or not they check the number themselves.
+After a restart, no order is sent to the upstream until the highest number issued so
+far has been read from a quorum of the control replicas.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class Passage(Enum):
-    """What becomes of an order that is not refused."""
+    """What to do with an order that is not refused."""
 
     GIVE = "give"
     REPEATED = "repeated"
@@ -30,56 +30,60 @@
 
 
 class Fence:
-    """The highest number seen, and the order that was given under it."""
+    """The highest fencing number seen, and the last order sent to the upstream."""
 
     def __init__(self) -> None:
         self._highest: int | None = None
-        self._given: OrderReq | None = None
+        self._last_sent: OrderReq | None = None
 
     @property
     def learned(self) -> bool:
-        """Whether the current number is known."""
+        """Whether the current number has been read from control."""
         return self._highest is not None
 
     def learn(self, number: int) -> None:
-        """Take over the highest number that a quorum has issued."""
+        """Record the highest number that a quorum of control has issued."""
         self._highest = max(number, self._highest or 0)
 
     def refusal(self, order: OrderReq) -> Problem | None:
-        """Why the order can never be given; None if its time may come."""
+        """Why the order can never be sent; None if it may be sent now or later."""
         current = self._highest
         if current is None or order.number >= current:
             return None
         return problem(STALE_FENCING_NUMBER, number=order.number, current=current)
 
     def take(self, order: OrderReq) -> Result[Passage, Problem]:
-        """Say whether ``order`` goes to the upstream."""
+        """Decide whether to send ``order``, to wait, or to refuse it."""
         if self._highest is None:
             return Ok(Passage.WAIT)
         refusal = self.refusal(order)
         if refusal is not None:
             return Err(refusal)
-        if self._given is not None and order.number == self._given.number:
-            return self._take_again(order, self._given)
+        if self._last_sent is not None and order.number == self._last_sent.number:
+            return self._check_duplicate(order, self._last_sent)
         self._advance(order)
         return Ok(Passage.GIVE)
 
     def is_given(self, order: OrderReq) -> bool:
-        """Whether it is the order that was given last."""
-        return order == self._given
+        """Whether ``order`` is the one that was sent last."""
+        return order == self._last_sent
 
     def forget(self, number: int) -> None:
-        """The order did not arrive at the upstream: let it be given again."""
-        if self._given is not None and self._given.number == number:
-            self._given = None
-
-    def _take_again(self, order: OrderReq, given: OrderReq) -> Result[Passage, Problem]:
-        if order != given:
+        """Allow an order that did not reach the upstream to be sent again."""
+        if self._last_sent is not None and self._last_sent.number == number:
+            self._last_sent = None
+
+    def _check_duplicate(
+        self, order: OrderReq, last_sent: OrderReq
+    ) -> Result[Passage, Problem]:
+        if order != last_sent:
             return Err(problem(CHANGE_ID_REUSED, change_id=str(order.number)))
         return Ok(Passage.REPEATED)
 
     def _advance(self, order: OrderReq) -> None:
         if self._highest is not None and order.number < self._highest:
-            raise InvariantError(f"order {order.number} after {self._highest}")
+            raise InvariantError(
+                f"order {order.number} would be sent after {self._highest}"
+            )
         self._highest = order.number
-        self._given = order
+        self._last_sent = order
--- a/gooseberrydale/version/key_index.py
+++ b/gooseberrydale/version/key_index.py
@@ -1,7 +1,7 @@
 """Finds the workspace of an API key in one revision of the configuration.
 
-Lives for one revision: the index is built once for it, so that a request costs one
-look-up however many workspaces there are.
+The index is built once per revision, so a request costs one dictionary lookup
+regardless of the number of workspaces.
 """
 
 from __future__ import annotations
@@ -13,11 +13,11 @@
 from gooseberrydale.errors import INVALID_KEY, MISSING_KEY, Problem, problem
 from gooseberrydale.version.declarations import Config, Workspace
 
-BEARER = "bearer "
+BEARER_PREFIX = "bearer "
 
 
 class KeyIndex:
-    """Workspaces by the digest of their keys, for one revision."""
+    """Workspaces of one revision by key digest."""
 
     def __init__(self, config: Config) -> None:
         self.config = config
@@ -28,20 +28,20 @@
         }
 
     def workspace(self, authorization: str) -> Result[Workspace, Problem]:
-        """The workspace of an Authorization header's bearer key."""
-        if not authorization[: len(BEARER)].lower() == BEARER:
+        """Find the workspace of the bearer key in an Authorization header."""
+        if not authorization[: len(BEARER_PREFIX)].lower() == BEARER_PREFIX:
             return Err(problem(MISSING_KEY))
-        key = authorization[len(BEARER) :].strip()
+        key = authorization[len(BEARER_PREFIX) :].strip()
         if not key:
             return Err(problem(MISSING_KEY))
-        found = self._by_digest.get(key_digest(key))
-        return Ok(found) if found is not None else Err(problem(INVALID_KEY))
+        workspace = self._by_digest.get(key_digest(key))
+        return Ok(workspace) if workspace is not None else Err(problem(INVALID_KEY))
 
 
 def key_digest(key: str) -> str:
-    """The form in which API keys and operators' tokens are kept.
+    """Digest under which API keys and operators' tokens are stored.
 
-    A plain hash is enough where the secret is random and long: there is nothing
-    to guess that a slow hash would protect, and a key is looked up on each call.
+    A fast hash is enough because the keys are long and random, so they can't be
+    guessed by trying; a slow hash would add its cost to every request.
     """
     return hashlib.sha256(key.encode()).hexdigest()
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -111,7 +111,7 @@
     assert '"priority":0' in made.before and '"priority":3' in made.after
     assert (refused.operator, refused.outcome) == ("bo", "revision_conflict")
     assert DIGEST not in state.audit.entries[3].after
-    assert len(state.memory.items) == 2
+    assert len(state.replies.items) == 2
 
 
 def test_leaving_marks():
