--- a/gooseberrydale/version/__init__.py
+++ b/gooseberrydale/version/__init__.py
@@ -1,1 +1,1 @@
-"""State that lives for one version of configuration, weights or log."""
+"""Versioned state: configuration, weights, upstream records, replicated log."""
--- a/gooseberrydale/version/control_state.py
+++ b/gooseberrydale/version/control_state.py
@@ -44,18 +44,18 @@
 from gooseberrydale.errors import CHANGE_ID_REUSED, InvariantError, Problem, problem
 from gooseberrydale.version.audit import ACCEPTED, RESENT, AuditEntry, AuditTrail
 from gooseberrydale.version.change import (
-    ReplyCache,
     Remembered,
-    requested_text,
+    ReplyCache,
     content_digest,
+    current_text,
     edit_name,
     evaluate,
     refusal_reply,
-    current_text,
+    requested_text,
 )
 from gooseberrydale.version.claims import ClaimTable
 from gooseberrydale.version.declarations import Config, Document, Profile, Workspace
-from gooseberrydale.version.orders import OrderBook
+from gooseberrydale.version.orders import OrderTable
 
 SKIPPED_AFTER_RECOVERY = 1_000_000
 
@@ -97,7 +97,7 @@
         self.config = config or Config()
         self.replies = ReplyCache()
         self.audit = AuditTrail()
-        self.orders = OrderBook()
+        self.orders = OrderTable()
         self.claims = ClaimTable()
         self.cluster = ""
         self._handlers: dict[type[Any], Callable[[Any], Any]] = {
@@ -177,7 +177,7 @@
         self._set_config(_snapshot_config(snapshot))
         self.replies = ReplyCache(snapshot.remembered)
         self.audit = AuditTrail(snapshot.audit, snapshot.audit_last)
-        self.orders = OrderBook(
+        self.orders = OrderTable(
             snapshot.orders,
             snapshot.order_last_id,
             snapshot.order_last_number,
--- a/gooseberrydale/version/directory.py
+++ b/gooseberrydale/version/directory.py
@@ -1,11 +1,11 @@
-"""Which upstreams are there: their newest records, each under a lease.
-
-A directory lives as long as its process and is lost with it; upstreams announce
-themselves again.  Records travel from process to process, so they arrive late,
-twice and out of order.  Two rules keep that harmless: a record only gives way to
-a newer one of the same name, and a forwarded record carries what is left of its
-lease, never a fresh one.  The module reads no clock: ``now`` is the receiver's
-loop clock in seconds.
+"""The upstreams known to a process: the newest record of each, under a lease.
+
+A directory is kept in memory only; after a restart it is filled again by the
+upstreams' next announcements.  Records are forwarded between processes, so they
+arrive late, repeatedly and out of order.  Two rules make that safe: a record is
+replaced only by a newer one of the same name, and a forwarded record carries the
+remaining time of its lease, never a renewed lease.  The module reads no clock:
+``now`` is the receiver's loop clock in seconds.
 """
 
 from __future__ import annotations
@@ -23,24 +23,30 @@
 from gooseberrydale.errors import InvariantError
 
 MAX_LEASE_S = 60.0
-"""Longest lease that is taken over, in seconds; longer ones are cut to it."""
+"""Longer leases are shortened to this."""
 
 PASSED_RENEWAL_PART = 0.5
-"""Part of a lease after which roles with many sessions pass a renewal on: the others
-are left with nearly half of it, in which two or more further renewals come."""
+"""Fraction of a lease after which roles with many sessions propagate a renewal again.
+
+Receivers still have nearly half of the lease left, in which two or more further
+renewals arrive."""
 
 _RENEWED_FIELDS = frozenset({"seq", "lease_s"})
 _content = attrgetter(
-    *(one.name for one in fields(UpstreamRecord) if one.name not in _RENEWED_FIELDS)
+    *(
+        field.name
+        for field in fields(UpstreamRecord)
+        if field.name not in _RENEWED_FIELDS
+    )
 )
 
 ChangeListener = Callable[[bool], None]
 
 
 def new_incarnation(now_ns: int, rng: random.Random) -> str:
-    """Return an id for one incarnation of a process that sorts by its start.
+    """Return an id for one incarnation of a process; ids sort by start time.
 
-    ``now_ns`` is wall-clock time in nanoseconds.  The random part tells apart two
+    ``now_ns`` is wall-clock time in nanoseconds.  The random suffix distinguishes
     processes that start in the same nanosecond.
     """
     return f"{now_ns:016x}{rng.getrandbits(32):08x}"
@@ -48,9 +54,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """Records that came after a version, and the version that they reach.
+    """The records that changed after a given version, up to ``version``.
 
-    Those named in ``renewed`` were there at that version but for their leases.
+    ``renewed`` names the records of which only the lease was renewed since then.
     """
 
     records: tuple[UpstreamRecord, ...]
@@ -59,12 +65,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Held:
-    """A record, the end of its lease, and where and when it came in.
+class _HeldRecord:
+    """A record with the end of its lease and the session that it came from.
 
-    ``version`` is that of the record that was passed on last, ``changed`` the one at
-    which it changed in more than its lease; from ``pass_on_at`` on another renewal is
-    passed on.
+    ``version`` is the directory's version when the record was last propagated,
+    ``changed`` the version at which more than its lease last changed.  The next
+    renewal is propagated from time ``propagate_at`` on.
     """
 
     record: UpstreamRecord
@@ -72,33 +78,37 @@
     version: int
     changed: int
     source: object
-    pass_on_at: float
+    propagate_at: float
 
 
 @dataclass(frozen=True, slots=True)
-class _Mark:
-    """The newest announcement seen of a name, kept after its lease has ended."""
+class _LastSeen:
+    """The newest announcement seen of a name, remembered beyond its lease.
+
+    It rejects older announcements that arrive late.
+    """
 
     incarnation: str
     seq: int
-    forget_at: float
+    remembered_until: float
 
 
 @dataclass(frozen=True, slots=True)
 class _ReadyView:
-    """Ready records of a pool; must be built again once ``until`` is reached."""
+    """The ready records of a pool, cached until a lease ends at time ``until``."""
 
     records: tuple[UpstreamRecord, ...]
     until: float
 
 
 class Directory:
-    """Upstream records by name; see the module's text for the rules.
+    """Upstream records by name; see the module docstring for the rules.
 
-    A renewal is passed on once ``renewal_part`` of the lease that was passed on before
-    it has gone by; with ``relays_renewals`` off, renewals that were heard are not.
-    Changes are passed on in any case.  It answers fleets of seventy gateways and more
-    with three sessions each, to which renewals are most of what replicas send.
+    A renewal is propagated once the fraction ``renewal_part`` of the last propagated
+    lease has passed.  Without ``relays_renewals``, renewals received from another
+    process are never propagated.  Other changes always are.  This limits traffic in
+    fleets of seventy gateways and more with three sessions each, where renewals would
+    be most of what replicas send.
     """
 
     def __init__(
@@ -106,23 +116,23 @@
     ) -> None:
         self._renewal_part = renewal_part
         self._relays_renewals = relays_renewals
-        # Ordered by version: an updated record moves to the end.
-        self._held: dict[str, _Held] = {}
-        self._marks: dict[str, _Mark] = {}
+        # Ordered by version: a propagated record moves to the end.
+        self._held: dict[str, _HeldRecord] = {}
+        self._last_seen: dict[str, _LastSeen] = {}
         self._ready: dict[str, _ReadyView] = {}
         self._listeners: list[ChangeListener] = []
         self._version = 0
 
     @property
     def version(self) -> int:
-        """Rises with each record that is passed on."""
+        """Increases with each record that is propagated."""
         return self._version
 
     def subscribe(self, listener: ChangeListener) -> Callable[[], None]:
-        """Call ``listener`` for each record to pass on; return how to stop that.
+        """Call ``listener`` for each record to propagate; return an unsubscribe call.
 
-        Its argument is False if the record only renews a lease.  Listeners must
-        not raise and must not offer records.
+        The listener's argument is False if the record only renews a lease.  Listeners
+        must not raise and must not offer records.
         """
         self._listeners.append(listener)
         return lambda: self._listeners.remove(listener)
@@ -135,32 +145,33 @@
         age_s: float = 0.0,
         source: object = None,
     ) -> bool:
-        """Take ``record`` in if it is newer than what was seen of its name.
+        """Store ``record`` if it is newer than the last one seen of its name.
 
-        ``age_s`` is how long the record was under way; ``source`` names the
-        session it came by, so that it is not sent back there.  Return whether it
-        was taken in.
+        ``age_s`` is how long the record was in transit.  ``source`` is the session
+        that it came from; it is not sent back there.  Return whether it was stored.
         """
         lease_s = min(record.lease_s, MAX_LEASE_S) - max(age_s, 0.0)
         if not lease_s > 0 or not self._is_newer(record):
             return False
         old = self._held.get(record.name)
-        if old is not None and old.expires > now and _same(old.record, record):
-            if not self._passes_on(old, source, now):
-                self._keep(replace(old, record=record, expires=now + lease_s))
+        if old is not None and old.expires > now and _same_content(old.record, record):
+            if not self._should_propagate(old, source, now):
+                self._store(replace(old, record=record, expires=now + lease_s))
                 return True
             renewal = True
         else:
             renewal = False
         self._version += 1
-        pass_on_at = now + lease_s * self._renewal_part
+        propagate_at = now + lease_s * self._renewal_part
         changed = old.changed if renewal and old is not None else self._version
-        held = _Held(record, now + lease_s, self._version, changed, source, pass_on_at)
-        # Those passed on last stand at the end.
+        held = _HeldRecord(
+            record, now + lease_s, self._version, changed, source, propagate_at
+        )
+        # Dictionaries keep insertion order: reinsert, so it becomes the last.
         self._held.pop(record.name, None)
-        self._keep(held)
+        self._store(held)
         if not renewal:
-            self._forget_views(old, held)
+            self._invalidate_views(old, held)
         for listener in self._listeners:
             listener(not renewal)
         return True
@@ -168,7 +179,7 @@
     def renew(
         self, renewal: Renewal, now: float, *, age_s: float = 0.0, source: object = None
     ) -> bool:
-        """Renew a lease; False if the record is not known here."""
+        """Renew the lease of a record; return False if there is no such record."""
         held = self._held.get(renewal.name)
         if held is None or held.expires <= now:
             return False
@@ -179,46 +190,48 @@
         self.offer(renewed, now, age_s=age_s, source=source)
         return True
 
-    def _passes_on(self, held: _Held, source: object, now: float) -> bool:
-        """Whether a renewal of ``held`` that came by ``source`` is passed on."""
+    def _should_propagate(self, held: _HeldRecord, source: object, now: float) -> bool:
+        """Whether to propagate a renewal of ``held`` that came from ``source``."""
         if source is not None and not self._relays_renewals:
             return False
-        return now >= held.pass_on_at
+        return now >= held.propagate_at
 
-    def _keep(self, held: _Held) -> None:
+    def _store(self, held: _HeldRecord) -> None:
         self._held[held.record.name] = held
-        self._mark(held)
+        self._remember(held)
 
     def expire(self, now: float) -> tuple[str, ...]:
         """Drop records whose lease has ended; return their names."""
         names = tuple(n for n, held in self._held.items() if held.expires <= now)
         for name in names:
-            self._forget_views(self._held.pop(name))
-        forgotten = [n for n, mark in self._marks.items() if mark.forget_at <= now]
+            self._invalidate_views(self._held.pop(name))
+        forgotten = [
+            n for n, mark in self._last_seen.items() if mark.remembered_until <= now
+        ]
         for name in forgotten:
-            del self._marks[name]
+            del self._last_seen[name]
         return names
 
     def get(self, name: str, now: float) -> UpstreamRecord | None:
-        """The record of ``name`` with what is left of its lease, if any is."""
+        """The record of ``name`` with its remaining lease; None if it has ended."""
         held = self._held.get(name)
         if held is None or held.expires <= now:
             return None
-        return _with_lease_left(held, now)
+        return _with_remaining_lease(held, now)
 
     def newest_incarnation(self, name: str) -> str:
-        """The incarnation of the newest record seen of ``name``, empty if none was.
+        """The incarnation of the newest record seen of ``name``; empty if none.
 
-        It is remembered for a while after the end of its lease.
+        It is remembered for ``MAX_LEASE_S`` after the end of its lease.
         """
-        mark = self._marks.get(name)
+        mark = self._last_seen.get(name)
         return "" if mark is None else mark.incarnation
 
     def ready(self, pool: str, now: float) -> tuple[UpstreamRecord, ...]:
-        """Records of ``pool`` that take new work, ordered by name.
+        """Records of ``pool`` that accept new work, ordered by name.
 
-        The same tuple is returned until one of them changes in more than its
-        lease, so its ``seq`` and ``lease_s`` may be older than the newest.
+        The tuple is cached until more than the lease of a record changes, so its
+        ``seq`` and ``lease_s`` may be outdated.
         """
         view = self._ready.get(pool)
         if view is None or view.until <= now:
@@ -227,13 +240,13 @@
         return view.records
 
     def records(self, now: float) -> tuple[UpstreamRecord, ...]:
-        """All records, each with what is left of its lease."""
+        """All records, each with its remaining lease."""
         return self.since(0, now).records
 
     def since(self, version: int, now: float, *, exclude: object = None) -> Delta:
-        """Records taken in after ``version``, each with what is left of its lease.
+        """Records propagated after ``version``, each with its remaining lease.
 
-        Leaves out those that came from ``exclude``.
+        Records that came from the session ``exclude`` are left out.
         """
         newer = [
             held
@@ -241,58 +254,58 @@
             if held.expires > now and (exclude is None or held.source is not exclude)
         ]
         return Delta(
-            tuple(_with_lease_left(one, now) for one in newer),
+            tuple(_with_remaining_lease(entry, now) for entry in newer),
             self._version,
-            frozenset(one.record.name for one in newer if one.changed <= version),
+            frozenset(entry.record.name for entry in newer if entry.changed <= version),
         )
 
-    def _newest_first(self, version: int) -> Iterator[_Held]:
+    def _newest_first(self, version: int) -> Iterator[_HeldRecord]:
         for held in reversed(self._held.values()):
             if held.version <= version:
                 return
             yield held
 
     def _is_newer(self, record: UpstreamRecord) -> bool:
-        mark = self._marks.get(record.name)
+        mark = self._last_seen.get(record.name)
         if mark is None:
             return True
         return (record.incarnation, record.seq) > (mark.incarnation, mark.seq)
 
-    def _mark(self, held: _Held) -> None:
+    def _remember(self, held: _HeldRecord) -> None:
         record = held.record
-        old = self._marks.get(record.name)
-        new = _Mark(record.incarnation, record.seq, held.expires + MAX_LEASE_S)
+        old = self._last_seen.get(record.name)
+        new = _LastSeen(record.incarnation, record.seq, held.expires + MAX_LEASE_S)
         if old is not None and (new.incarnation, new.seq) <= (old.incarnation, old.seq):
             raise InvariantError(
-                f"record of {record.name!r} fell from {old.incarnation}/{old.seq}"
+                f"record of {record.name!r} went back from {old.incarnation}/{old.seq}"
                 f" to {new.incarnation}/{new.seq}; report this as a bug"
             )
-        self._marks[record.name] = new
+        self._last_seen[record.name] = new
 
     def _build_view(self, pool: str, now: float) -> _ReadyView:
         ready = [
             held
             for held in self._held.values()
-            if held.record.pool == pool and held.expires > now and _takes_work(held)
+            if held.record.pool == pool and held.expires > now and _accepts_work(held)
         ]
         ready.sort(key=lambda held: held.record.name)
         until = min((held.expires for held in ready), default=float("inf"))
         return _ReadyView(tuple(held.record for held in ready), until)
 
-    def _forget_views(self, *changed: _Held | None) -> None:
+    def _invalidate_views(self, *changed: _HeldRecord | None) -> None:
         for held in changed:
             if held is not None:
                 self._ready.pop(held.record.pool, None)
 
 
-def _takes_work(held: _Held) -> bool:
+def _accepts_work(held: _HeldRecord) -> bool:
     return held.record.ready and not held.record.leaving
 
 
-def _same(old: UpstreamRecord, new: UpstreamRecord) -> bool:
-    """Whether ``new`` differs from ``old`` in its sequence number and lease only."""
+def _same_content(old: UpstreamRecord, new: UpstreamRecord) -> bool:
+    """Whether ``new`` differs from ``old`` only in sequence number and lease."""
     return _content(old) == _content(new)
 
 
-def _with_lease_left(held: _Held, now: float) -> UpstreamRecord:
+def _with_remaining_lease(held: _HeldRecord, now: float) -> UpstreamRecord:
     return replace(held.record, lease_s=held.expires - now)
--- a/gooseberrydale/version/named_weights.py
+++ b/gooseberrydale/version/named_weights.py
@@ -1,35 +1,38 @@
-"""Since when the weights that an engine serves are not the newest named.
+"""Tracks how long the weights that an engine serves have been outdated.
 
-Lives as long as the process; pure.  Times are those at which this process heard of a
-version, a little after operators had their answer.
+Operators name the version of a model's weights that engines should serve.  A version
+counts from the time at which this process received it, which is shortly after the
+operator got the reply.
 """
 
 from __future__ import annotations
 
 from collections.abc import Mapping
 
-KEPT_VERSIONS = 32
+MAX_VERSIONS_PER_MODEL = 32
 
 
 class NamedWeights:
-    """The versions named of each model, with the times at which they were heard of."""
+    """The named versions of each model, with the times they were received."""
 
     def __init__(self) -> None:
         self._named: dict[str, list[tuple[int, float]]] = {}
 
     def note(self, weights: Mapping[str, int], now: float) -> list[tuple[str, int]]:
-        """Take the versions that are named now; return models whose are newer."""
+        """Record the named versions; return the models and versions that are new."""
         newer = []
         for model, version in weights.items():
-            known = self._named.setdefault(model, [])
-            if not known or version > known[-1][0]:
-                known.append((version, now))
-                del known[:-KEPT_VERSIONS]
+            versions = self._named.setdefault(model, [])
+            if not versions or version > versions[-1][0]:
+                versions.append((version, now))
+                del versions[:-MAX_VERSIONS_PER_MODEL]
                 newer.append((model, version))
         return newer
 
     def old_for_s(self, model: str, version: int, now: float) -> float:
-        """Seconds since a later version than ``version`` was named; 0 if none was."""
-        later = (at for named, at in self._named.get(model, ()) if named > version)
-        since = next(later, None)
+        """Seconds since a newer version than ``version`` was named; 0 if none was."""
+        newer_times = (
+            at for named, at in self._named.get(model, ()) if named > version
+        )
+        since = next(newer_times, None)
         return 0.0 if since is None else max(0.0, now - since)
--- a/gooseberrydale/version/order_marks.py
+++ b/gooseberrydale/version/order_marks.py
@@ -1,8 +1,8 @@
-"""Marks in the directory that say which upstreams carry an order out.
+"""Directory records that mark the upstreams which are executing an order.
 
-A mark is a record under a lease like an upstream's own, so that it reaches all
-processes in the same way and ends by itself with its writer.  Entries send no new work
-to a marked upstream while another one will do.
+A mark is a leased record like that of an upstream, so it reaches all processes in the
+same way and expires when its writer stops renewing it.  Entries avoid marked upstreams
+for new work as long as another upstream can serve it.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 
 MARK_LEASE_S = 3.0
-"""Longer than a change of weights takes; a mark whose writer has died ends then."""
+"""Longer than a change of weights takes; then the mark of a dead writer expires."""
 
 _SUFFIX = "/order"
 _KIND = "order"
@@ -22,9 +22,9 @@
 
 
 def mark(upstream: str, term: int, seq: int, *, over: bool = False) -> UpstreamRecord:
-    """The mark that the leader of ``term`` sets, or ends with ``over``.
+    """Make the mark that the leader of ``term`` announces; ``over`` ends it.
 
-    ``seq`` rises with each mark of a term.
+    ``seq`` must increase with each mark of a term.
     """
     return UpstreamRecord(
         name=mark_name(upstream),
@@ -41,10 +41,10 @@
 
 
 def is_mark_name(name: str) -> bool:
-    """Whether a record under this name is a mark."""
+    """Whether ``name`` is the name of a mark."""
     return name.endswith(_SUFFIX)
 
 
 def is_mark(record: UpstreamRecord) -> bool:
-    """Whether a record is a mark and no upstream's own."""
+    """Whether ``record`` is a mark, not the record of an upstream."""
     return record.kind == _KIND
--- a/gooseberrydale/version/orders.py
+++ b/gooseberrydale/version/orders.py
@@ -1,11 +1,12 @@
-"""Orders to upstreams, with fencing numbers that only rise.
-
-Part of the replicated control state.  An upstream has at most one issued order at
-a time, in the order of placing; over all upstreams at most ``loads_at_once`` loads
-of weights are issued at the same time, since the weight store slows down beyond.
-The fencing number is given when an order is issued, so that a later one carries a
-higher number whatever became of the earlier.  An issued order whose deadline has
-passed in committed time counts as lost and frees its place.
+"""The table of orders to upstreams, with increasing fencing numbers.
+
+Part of the replicated control state.  The orders of an upstream are issued one at a
+time, in the sequence in which they were placed.  Over all upstreams at most
+``loads_at_once`` loads of weights are issued at the same time, because more of them
+slow down the weight store.  An order gets its fencing number when it is issued, so a
+later order always has a higher number, whatever the outcome of the earlier one.  An
+issued order whose deadline has passed in committed time is closed as lost, and the
+next order can be issued.
 """
 
 from __future__ import annotations
@@ -38,8 +39,8 @@
 OPEN_STATES = (OrderState.PENDING, OrderState.ISSUED)
 
 
-class OrderBook:
-    """All open orders and the newest closed ones."""
+class OrderTable:
+    """All open orders and the most recent closed ones."""
 
     def __init__(
         self,
@@ -51,14 +52,14 @@
         self._open: dict[int, Order] = {}
         self._closed: dict[int, Order] = {}
         for order in orders:
-            self._put(order)
+            self._store(order)
         self._last_id = last_id
         self._last_number = last_number
         self._fences = dict(fences or {})
 
     @property
     def orders(self) -> tuple[Order, ...]:
-        """All kept orders, the closed ones first, each group as placed or closed."""
+        """All retained orders: closed ones as closed, then open ones as placed."""
         return (*self._closed.values(), *self._open.values())
 
     @property
@@ -68,43 +69,46 @@
 
     @property
     def last_number(self) -> int:
-        """The highest fencing number ever given."""
+        """The highest fencing number ever assigned."""
         return self._last_number
 
     @property
     def fences(self) -> dict[str, int]:
-        """The highest fencing number given to each upstream."""
+        """The highest fencing number assigned to each upstream."""
         return dict(self._fences)
 
     def fence(self, upstream: str) -> int:
         """The highest fencing number that may have reached ``upstream``.
 
-        An upstream whose own number may have been dropped gets the highest of all,
-        which refuses too much rather than too little.
+        Only ``MAX_UPSTREAMS`` numbers are retained.  For an upstream whose number may
+        have been dropped, the highest of all is returned: it may refuse a valid order,
+        but never lets an outdated one pass.
         """
         if len(self._fences) < MAX_UPSTREAMS:
             return self._fences.get(upstream, 0)
         return self._fences.get(upstream, self._last_number)
 
     def issued(self) -> list[Order]:
-        """The orders that are to be given to upstreams now."""
+        """The orders that upstreams should execute now."""
         return [o for o in self._open.values() if o.state is OrderState.ISSUED]
 
     def next_deadline_s(self) -> float | None:
-        """Committed time at which the next issued order counts as lost."""
+        """Committed time at which the next issued order will be closed as lost."""
         return min((order.deadline_s for order in self.issued()), default=None)
 
     def place(
         self, req: PlaceOrderReq, now_s: float, limits: Limits
     ) -> Result[Order, Problem]:
-        """Enter a pending order; it is issued by the next :meth:`advance`."""
+        """Add a pending order; the next :meth:`advance` may issue it."""
         if not NAME_PATTERN.fullmatch(req.upstream):
-            return Err(problem(INVALID_DECLARATION, reason="upstream: name one"))
+            return Err(
+                problem(INVALID_DECLARATION, reason="upstream: name a valid one")
+            )
         if not req.model:
-            return Err(problem(INVALID_DECLARATION, reason="model: name one"))
+            return Err(problem(INVALID_DECLARATION, reason="model: is empty; name one"))
         if not req.announced:
             return Err(problem(UNKNOWN_NAME, what="upstream", name=req.upstream))
-        if not self._make_room(limits.orders):
+        if not self._evict_closed(limits.orders):
             refused = problem(
                 ORDERS_FULL, retry_after_s=limits.order_deadline_s, limit=limits.orders
             )
@@ -119,11 +123,11 @@
             operator=req.operator,
             placed_s=now_s,
         )
-        self._put(order)
+        self._store(order)
         return Ok(order)
 
     def report(self, req: ReportOrderReq) -> Problem | None:
-        """Close the issued order under ``req.number``; later reports change nothing."""
+        """Close the issued order ``req.number``; repeated reports are ignored."""
         order = self._by_number(req.number)
         if order is None or order.upstream != req.upstream:
             return problem(
@@ -135,10 +139,14 @@
         return None
 
     def advance(self, now_s: float, limits: Limits) -> None:
-        """Close the lost orders and issue those that have a place."""
+        """Close lost orders, then issue pending ones as far as the limits allow."""
         for order in self.issued():
             if order.deadline_s <= now_s:
-                self._close(order, OrderState.LOST, "no report before the deadline")
+                self._close(
+                    order,
+                    OrderState.LOST,
+                    "no report before the deadline",
+                )
         issued = self.issued()
         busy = {order.upstream for order in issued}
         loads = sum(order.kind is OrderKind.LOAD_WEIGHTS for order in issued)
@@ -146,7 +154,7 @@
         for order in pending:
             if order.upstream in busy:
                 continue
-            # Also a waiting load keeps later orders to its upstream behind it.
+            # A load that has to wait blocks the later orders to its upstream, too.
             busy.add(order.upstream)
             is_load = order.kind is OrderKind.LOAD_WEIGHTS
             if is_load and loads >= limits.loads_at_once:
@@ -155,14 +163,14 @@
             self._issue(order, now_s + limits.order_deadline_s)
 
     def skip_numbers(self, count: int) -> None:
-        """Leave out numbers that a lost part of the log may have given."""
+        """Skip numbers that lost entries of the log may have assigned."""
         self._last_number += count
 
     def _issue(self, order: Order, deadline_s: float) -> None:
         number = self._last_number + 1
         check_fence(self._fences.get(order.upstream, 0), number)
         self._last_number = number
-        # Re-entering the upstream keeps the most recently ordered ones at the end.
+        # Reinsert, so the upstreams with the oldest orders are dropped first.
         self._fences.pop(order.upstream, None)
         self._fences[order.upstream] = number
         if len(self._fences) > MAX_UPSTREAMS:
@@ -170,24 +178,26 @@
         issued = replace(
             order, state=OrderState.ISSUED, number=number, deadline_s=deadline_s
         )
-        self._put(issued)
+        self._store(issued)
 
-    def _put(self, order: Order) -> None:
+    def _store(self, order: Order) -> None:
         is_open = order.state in OPEN_STATES
         kept = self._open if is_open else self._closed
         kept[order.order_id] = order
 
     def _close(self, order: Order, state: OrderState, detail: str) -> None:
         if order.state is not OrderState.ISSUED:
-            raise InvariantError(f"order {order.order_id} would be closed twice")
+            raise InvariantError(
+                f"order {order.order_id} is {order.state}, so it can't be closed"
+            )
         del self._open[order.order_id]
-        self._put(replace(order, state=state, detail=detail))
+        self._store(replace(order, state=state, detail=detail))
 
     def _by_number(self, number: int) -> Order | None:
-        found = (order for order in self.orders if order.number == number > 0)
-        return next(found, None)
+        matching = (order for order in self.orders if order.number == number > 0)
+        return next(matching, None)
 
-    def _make_room(self, keep: int) -> bool:
+    def _evict_closed(self, keep: int) -> bool:
         while len(self._open) + len(self._closed) >= keep:
             if not self._closed:
                 return False
@@ -198,4 +208,6 @@
 def check_fence(current: int, number: int) -> None:
     """Raise InvariantError unless ``number`` is above ``current``."""
     if number <= current:
-        raise InvariantError(f"fencing number would fall from {current} to {number}")
+        raise InvariantError(
+            f"fencing number would not rise from {current} to {number}"
+        )
--- a/gooseberrydale/version/replication/__init__.py
+++ b/gooseberrydale/version/replication/__init__.py
@@ -1,5 +1,5 @@
-"""The replicated log of the control role, after Raft's published description.
+"""The replicated log of the control role, an implementation of Raft.
 
-Pure decisions (``raft`` and the modules that it is split into) and the files that
-keep them (``storage``).  A log lives as long as its cluster.
+``raft`` and the modules that it uses decide without IO; ``storage`` and
+``file_storage`` write what they decide to disk.
 """
--- a/gooseberrydale/version/replication/actions.py
+++ b/gooseberrydale/version/replication/actions.py
@@ -1,9 +1,9 @@
-"""Events that a replica's log takes in, and the actions that it asks for.
+"""Input events of a replica's Raft node, and the actions that it returns.
 
-The owner carries the actions out in order.  Writes (``SaveState``, ``Truncate``,
-``Append``, ``SaveSnapshot``) may wait for a common sync; a ``Send`` with
-``after_sync`` goes out only after every write asked for before it is synced, and
-then the owner reports :class:`Synced`.
+The owner of the node executes the actions in order.  Writes (``SaveState``,
+``Truncate``, ``Append``, ``SaveSnapshot``) may be batched for one sync.  A ``Send``
+with ``after_sync`` must wait until all writes requested before it are synced.  After a
+sync the owner reports :class:`Synced`.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Commands to append as one batch, each with the owner's number for it."""
+    """Commands to append as one batch, each with a number that the owner assigned."""
 
     commands: tuple[tuple[int, bytes], ...]
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotTaken:
-    """The state machine's bytes after ``index``, as :class:`TakeSnapshot` asked."""
+    """The encoded state machine after ``index``, requested by :class:`TakeSnapshot`."""
 
     index: int
     data: bytes
@@ -67,21 +67,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Truncate:
-    """Drop the entries from ``index`` on."""
+    """Remove the entries from ``index`` on."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Write entries after the last one."""
+    """Write entries at the end of the log."""
 
     entries: tuple[Entry, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class SaveSnapshot:
-    """Replace snapshot and log on disk by these, atomically."""
+    """Replace the snapshot and the log on disk atomically."""
 
     snapshot: Snapshot
     state: HardState
@@ -90,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a peer message to the replica under a name."""
+    """Send a peer message to the replica with this name."""
 
     name: str
     envelope: Envelope
@@ -113,14 +113,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TakeSnapshot:
-    """Take the state machine's snapshot now; it stands after ``index``."""
+    """Take a snapshot of the state machine, which has applied up to ``index``."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The proposal stands in the log, not yet committed."""
+    """The proposal was appended to the log; it is not committed yet."""
 
     number: int
     index: int
@@ -129,7 +129,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotLeader:
-    """The proposal was not taken; ``leader`` may lead."""
+    """The proposal was refused; ``leader`` is the leader, if one is known."""
 
     number: int
     leader: Member | None
@@ -144,10 +144,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NoteCommit:
-    """Note that entries up to ``index`` are committed.
+    """Write a note that entries up to ``index`` are committed.
 
-    Written after every write asked for before it is synced, and not waited for: a note
-    that is lost costs time after a restart, nothing else.
+    It is written after all writes requested before it are synced, and nothing waits
+    for it: a lost note only makes the next restart take longer.
     """
 
     index: int
--- a/gooseberrydale/version/replication/bootstrap.py
+++ b/gooseberrydale/version/replication/bootstrap.py
@@ -1,7 +1,7 @@
 """First start of a cluster, and recovery after the loss of a majority of disks.
 
-Both happen only on an operator's explicit order, while the replica is stopped, or
-by a setting that holds for the very first start alone.
+Both require an operator: either an explicit command while the replica is stopped, or
+a setting that applies only to the very first start.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryReport:
-    """What a forced membership keeps, and a sentence on what may be lost."""
+    """What a forced recovery retains, and a warning of what may be lost."""
 
     last_index: int
     last_term: int
@@ -36,22 +36,22 @@
 def first_start(me: Member, cluster: str) -> Stored:
     """Return the log of a new cluster whose only member is ``me``.
 
-    The other replicas join it one by one.
+    The other replicas join it one at a time.
     """
     entry = Entry(1, 1, EntryKind.MEMBERS, b"", Membership((me,)))
     return Stored(HardState(cluster, 1, me.identity), entries=(entry,))
 
 
 def first_identity(name: str) -> str:
-    """Identity of a replica that a cluster starts with; its successors' differ."""
+    """Identity of an initial replica; a replica that replaces it gets another one."""
     return f"first-{name}"
 
 
 def common_start(names: Iterable[str]) -> Stored:
-    """Return the log with which all replicas under ``names`` start a new cluster.
+    """Return the log with which all replicas in ``names`` start a new cluster.
 
-    Each of them makes the same log by itself, so none has to be there before the
-    others; the first election decides who leads.
+    Each replica computes the same log by itself, so they may start in any order.  The
+    first election determines the leader.
     """
     members = tuple(Member(name, first_identity(name)) for name in sorted(set(names)))
     text = "|".join(member.name for member in members)
@@ -61,7 +61,7 @@
 
 
 def describe(stored: Stored) -> RecoveryReport:
-    """Say what a recovery from this disk would keep, without changing anything."""
+    """Report what a recovery from this disk would retain; changes nothing."""
     last = stored.entries[-1] if stored.entries else stored.snapshot
     memberships = [stored.snapshot.membership]
     memberships += [e.membership for e in stored.entries if e.membership is not None]
@@ -72,18 +72,18 @@
         former_members=tuple(m.name for m in memberships[-1].members),
         warning=(
             f"Entries after index {last.index} (term {last.term}) that were committed"
-            " only on the lost disks are gone, and entries here that were never"
-            " committed now count as committed. Recover on the surviving disk with"
+            " only on the lost disks are lost, and entries here that were never"
+            " committed become committed. Recover on the surviving disk with"
             " the highest term, then index, and empty the other data folders."
         ),
     )
 
 
 def force_single(stored: Stored, me: Member, cluster: str) -> Stored:
-    """Return the log with ``me`` as only member of a cluster with a new id.
+    """Return the log with ``me`` as the only member of a cluster with a new id.
 
-    Everything on this disk is kept.  The new id keeps replicas of the former
-    cluster out until their data folders are emptied.
+    Everything on this disk is retained.  The new id excludes replicas of the former
+    cluster until their data folders are emptied.
     """
     report = describe(stored)
     term = max(stored.state.term, report.last_term) + 1
--- a/gooseberrydale/version/replication/core.py
+++ b/gooseberrydale/version/replication/core.py
@@ -1,8 +1,7 @@
-"""State of one replica's log, and the steps that every role shares.
+"""State of one Raft node, and operations that all its roles share.
 
-The role modules (``election``, ``follower``, ``leader``, ``joining``) are functions
-over a :class:`Core`; they append actions to ``Core.out``.  Lives as long as the
-process.
+The modules ``election``, ``follower``, ``leader`` and ``joining`` are functions over a
+:class:`Core`; they append the actions to execute to ``Core.out``.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 
 
 class Role(StrEnum):
-    """What a replica does at present."""
+    """The current Raft role of a replica."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "pre_candidate"
@@ -45,14 +44,14 @@
 class RaftCfg:
     """Times in seconds, sizes in entries.
 
-    ``names`` are the replica names that may become members.  ``lease_s`` must stay
-    under ``election_min_s``, so that a leader stops before another can be elected
-    even if the clocks run at slightly different rates.
+    ``names`` are the replica names that may become members.  ``lease_s`` must be below
+    ``election_min_s``, so a leader stops before another can be elected, even if the
+    clocks run at slightly different rates.
 
-    With ``open_to`` above 0 any replica may become a member: its name is its address,
-    ``names`` are those to ask for a place, and at most ``open_to`` replicas vote.  The
-    others are kept up to date, and one of them takes the place of a voter that was
-    silent for ``replace_after_s``.
+    With ``open_to`` above 0 the group is open: any replica may become a member, its
+    name is its address, ``names`` are the replicas to send join requests to, and at
+    most ``open_to`` replicas vote.  The others receive the log without a vote; one of
+    them replaces a voter that has been silent for ``replace_after_s``.
     """
 
     names: frozenset[str]
@@ -69,27 +68,28 @@
 
     def __post_init__(self) -> None:
         if not self.heartbeat_s < self.lease_s < self.election_min_s:
-            raise ValueError("order the times: heartbeat_s < lease_s < election_min_s")
+            raise ValueError("set heartbeat_s < lease_s < election_min_s")
         if self.election_min_s >= self.election_max_s:
             raise ValueError("election_max_s must exceed election_min_s")
 
 
 @dataclass(slots=True)
 class Progress:
-    """What the leader knows of one other replica's log.
-
-    ``promised_at`` is the sending time of the newest message that it answered,
-    ``heard_at`` when its last answer came, ``joined_at`` when it last asked to
-    join; ``snapshot_at`` is when an unanswered snapshot was sent.  While it is
-    ``probing``, one batch at a time looks for the place where the logs meet;
-    ``probed_at`` is when the newest one was sent.
+    """The leader's record of how far another replica's log has been replicated.
+
+    ``next`` is the index of the next entry to send, ``match`` the highest index known
+    to be on the replica's disk.  ``promised_at`` is the sending time of the newest
+    message that it answered, ``replied_at`` when its last answer was received,
+    ``joined_at`` when it last asked to join, and ``snapshot_at`` when a snapshot was
+    sent that is not answered yet.  While ``probing``, one batch is sent at a time to
+    find the last common entry of the logs; ``probed_at`` is when the last was sent.
     """
 
     member: Member
     next: int
     match: int = 0
     promised_at: float = float("-inf")
-    heard_at: float = float("-inf")
+    replied_at: float = float("-inf")
     joined_at: float = float("-inf")
     snapshot_at: float | None = None
     probing: bool = True
@@ -97,7 +97,10 @@
 
 
 class Core:
-    """Everything one replica knows; ``me`` is its name and identity."""
+    """The Raft state of one replica; ``me`` is its name and identity.
+
+    ``synced`` is the index up to which the own log is on disk.
+    """
 
     def __init__(
         self,
@@ -125,19 +128,20 @@
         self.elected_at = now
         self.heartbeat_at = now
         self.join_at = now
-        # A restarted replica has forgotten its last promise, so it makes a new one.
-        self.heard_at = now
+        # Its promise to the last leader is not on disk, so a restarted replica acts as
+        # if it had just received a message from a leader.
+        self.leader_contact_at = now
         self.election_at = now
         self.defer_election(now)
         self.out: list[Action] = []
 
     def may_join(self, name: str) -> bool:
-        """Whether the replica under a name may become a member."""
+        """Whether a replica with this name may become a member."""
         return self.cfg.open_to > 0 or name in self.cfg.names
 
     @property
     def known_names(self) -> frozenset[str]:
-        """The names of replicas that are configured, or members by the own log."""
+        """The names of configured replicas and of the members in the own log."""
         members = (member.name for member in self.log.membership.members)
         return self.cfg.names.union(members)
 
@@ -147,7 +151,7 @@
         return self.log.membership.has(self.me.identity)
 
     def defer_election(self, now: float) -> None:
-        """Wait a random time before the next election."""
+        """Reset the election timeout to a new random time."""
         cfg = self.cfg
         self.election_at = now + self.rng.uniform(
             cfg.election_min_s, cfg.election_max_s
@@ -156,7 +160,7 @@
     def send(
         self, target: Member, body: PeerMessage, *, after_sync: bool = True
     ) -> None:
-        """Ask for a message to be sent."""
+        """Add the action that sends a message to ``target``."""
         envelope = Envelope(self.state.cluster, self.me, target.identity, body)
         self.out.append(Send(target.name, envelope, after_sync))
 
@@ -167,17 +171,19 @@
         vote: str | None = None,
         cluster: str | None = None,
     ) -> None:
-        """Change the hard state and ask for it to be written."""
+        """Change the hard state and add the action that writes it."""
         old = self.state
         term = old.term if term is None else term
         if term < old.term:
-            raise InvariantError(f"term falls from {old.term} to {term}")
+            raise InvariantError(f"term would decrease from {old.term} to {term}")
         if vote is None:
             vote = old.vote if term == old.term else ""
         if term == old.term and old.vote and vote != old.vote:
-            raise InvariantError(f"second vote in term {term}")
+            raise InvariantError(f"replica would vote twice in term {term}")
         if cluster is not None and old.cluster not in ("", cluster):
-            raise InvariantError("a replica changes its cluster")
+            raise InvariantError(
+                "replica would change its cluster; empty its data folder first"
+            )
         new = replace(old, term=term, vote=vote)
         if cluster is not None:
             new = replace(new, cluster=cluster)
@@ -186,7 +192,7 @@
             self.out.append(SaveState(new))
 
     def follow(self, term: int, leader: Member | None) -> None:
-        """Become a follower in ``term``, of ``leader`` if it is known."""
+        """Become a follower in ``term``, with ``leader`` if it is known."""
         if term > self.state.term:
             self.save(term=term)
             self.leader = None
@@ -201,21 +207,23 @@
         self.progress.clear()
 
     def check_one_leader(self, leader: Member) -> None:
-        """Note who leads in this term; raise if it was another before."""
+        """Record the leader of this term; raise if another one was recorded."""
         if self.term_leader not in (None, leader):
             raise InvariantError(f"two leaders in term {self.state.term}")
         self.term_leader = leader
 
-    def forget_synced_after_end(self) -> None:
-        """Entries that replace dropped ones are not on disk yet."""
+    def clamp_synced(self) -> None:
+        """Lower ``synced`` after a truncation: new entries are not on disk yet."""
         self.synced = min(self.synced, self.log.last_index)
 
     def advance_commit(self, index: int) -> None:
-        """Commit up to ``index`` and ask for the new entries to be applied."""
+        """Commit up to ``index`` and add the action that applies the new entries."""
         if index < self.commit:
-            raise InvariantError(f"commit falls from {self.commit} to {index}")
+            raise InvariantError(
+                f"commit index would decrease from {self.commit} to {index}"
+            )
         if index > self.log.last_index:
-            raise InvariantError(f"commit {index} passes the log's end")
+            raise InvariantError(f"commit index {index} is past the end of the log")
         if index == self.commit:
             return
         entries = self.log.slice(self.applied + 1, index - self.applied)
@@ -233,8 +241,10 @@
                 self.out.append(MembersCommitted(entry.membership))
 
     def make_snapshot(self, index: int, data: bytes) -> Snapshot:
-        """Return the snapshot at ``index`` with the machine's bytes."""
+        """Return a snapshot at ``index`` from the encoded state machine."""
         term = self.log.term_at(index)
         if term is None or index > self.applied:
-            raise InvariantError(f"no snapshot can stand at index {index}")
+            raise InvariantError(
+                f"entry {index} is not applied or not in the log; can't snapshot it"
+            )
         return Snapshot(index, term, self.log.membership_at(index), data)
--- a/gooseberrydale/version/replication/election.py
+++ b/gooseberrydale/version/replication/election.py
@@ -1,8 +1,8 @@
 """Elections: pre-vote, vote, and the promise that protects a leader's lease.
 
-A replica that heard a leader less than ``election_min_s`` ago refuses both kinds of
-vote and doesn't take over the asker's term.  One that isn't a member by its own log
-never votes.
+A replica that received a message from a leader less than ``election_min_s`` ago
+refuses pre-votes and votes, and doesn't adopt the candidate's term.  A replica that
+isn't a member in its own log never votes.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 
 def tick(core: Core, now: float) -> None:
-    """Start an election if no leader was heard for long enough."""
+    """Start a pre-vote if the election timeout has passed without a leader."""
     if core.role is Role.LEADER or not core.is_voter or now < core.election_at:
         return
     core.defer_election(now)
     core.leader = None
-    _ask(core, now, pre=True)
+    _request_votes(core, now, pre=True)
 
 
-def _ask(core: Core, now: float, *, pre: bool) -> None:
+def _request_votes(core: Core, now: float, *, pre: bool) -> None:
     core.role = Role.PRE_CANDIDATE if pre else Role.CANDIDATE
     core.votes = {core.me.identity}
     term = core.state.term + 1
@@ -32,25 +32,25 @@
     for member in core.log.membership.members:
         if member != core.me:
             core.send(member, req)
-    _count(core, now)
+    _check_majority(core, now)
 
 
-def _count(core: Core, now: float) -> None:
+def _check_majority(core: Core, now: float) -> None:
     membership = core.log.membership
     votes = sum(membership.has(identity) for identity in core.votes)
     if votes < membership.quorum:
         return
     if core.role is Role.PRE_CANDIDATE:
-        _ask(core, now, pre=False)
+        _request_votes(core, now, pre=False)
     else:
         leader.begin(core, now)
 
 
 def on_request(core: Core, source: Member, req: VoteReq, now: float) -> None:
-    """Answer a request for a vote; a replica that is no member keeps silent."""
+    """Answer a request for a vote; a replica that isn't a member doesn't answer."""
     if not core.is_voter:
         return
-    if _is_promised(core, now) or req.term < core.state.term:
+    if _promise_holds(core, now) or req.term < core.state.term:
         core.send(source, VoteReply(core.state.term, False, req.pre))
         return
     if not req.pre and req.term > core.state.term:
@@ -63,10 +63,10 @@
     core.send(source, VoteReply(term, granted, req.pre))
 
 
-def _is_promised(core: Core, now: float) -> bool:
+def _promise_holds(core: Core, now: float) -> bool:
     if core.role is Role.LEADER:
         return now < leader.lease_until(core)
-    return now < core.heard_at + core.cfg.election_min_s
+    return now < core.leader_contact_at + core.cfg.election_min_s
 
 
 def _would_grant(core: Core, source: Member, req: VoteReq) -> bool:
@@ -79,13 +79,13 @@
 
 
 def on_reply(core: Core, source: Member, reply: VoteReply, now: float) -> None:
-    """Count a vote; an answer from a later term ends the candidacy."""
+    """Count a vote; a refusal from a later term ends the candidacy."""
     if not reply.granted:
         if reply.term > core.state.term:
             core.follow(reply.term, None)
         return
-    wanted = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
+    expected_role = Role.PRE_CANDIDATE if reply.pre else Role.CANDIDATE
     term = core.state.term + 1 if reply.pre else core.state.term
-    if core.role is wanted and reply.term == term:
+    if core.role is expected_role and reply.term == term:
         core.votes.add(source.identity)
-        _count(core, now)
+        _check_majority(core, now)
--- a/gooseberrydale/version/replication/files.py
+++ b/gooseberrydale/version/replication/files.py
@@ -1,7 +1,7 @@
-"""File operations as the storage needs them, behind a protocol.
+"""The file operations that the log's storage uses, behind a protocol.
 
-Tests put a fake in place of :class:`OsFiles` which stops at any step and forgets
-what was not synced.
+Tests replace :class:`OsFiles` by a fake that simulates crashes at any operation and
+loses data that was not synced.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 
 
 class Files(Protocol):
-    """Operations on one folder's files; all raise OSError as the system does."""
+    """Operations on the files of one folder; all raise OSError on failure."""
 
     def make_folder(self, path: Path) -> None:
-        """Create a folder and its parents unless they are there."""
+        """Create a folder and its parents unless they exist."""
         ...
 
     def exists(self, path: Path) -> bool:
-        """Whether a file is there."""
+        """Whether the file exists."""
         ...
 
     def read(self, path: Path) -> bytes:
-        """Return a file's whole content."""
+        """Return the content of a file."""
         ...
 
     def append(self, path: Path, data: bytes) -> None:
-        """Write at the end, creating the file; a failure may leave a part."""
+        """Append to a file, created if missing; a failure may write only some bytes."""
         ...
 
     def truncate(self, path: Path, size: int) -> None:
-        """Cut a file to ``size`` bytes."""
+        """Truncate a file to ``size`` bytes."""
         ...
 
     def sync(self, path: Path) -> None:
@@ -39,50 +39,50 @@
         ...
 
     def sync_folder(self, path: Path) -> None:
-        """Return once names created or changed in the folder are on disk."""
+        """Return once files created or renamed in the folder are on disk."""
         ...
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file a new name atomically, replacing what had it."""
+        """Rename a file atomically, replacing a file of the new name."""
         ...
 
     def remove(self, path: Path) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
         ...
 
     def close(self) -> None:
-        """Close what is kept open."""
+        """Close any open file."""
         ...
 
 
 class OsFiles:
-    """The system's files; the file appended to last is kept open."""
+    """Files of the operating system; the last written file stays open."""
 
     def __init__(self) -> None:
         self._path: Path | None = None
         self._fd = -1
 
     def make_folder(self, path: Path) -> None:
-        """Create a folder and its parents unless they are there."""
+        """Create a folder and its parents unless they exist."""
         path.mkdir(parents=True, exist_ok=True)
 
     def exists(self, path: Path) -> bool:
-        """Whether a file is there."""
+        """Whether the file exists."""
         return path.exists()
 
     def read(self, path: Path) -> bytes:
-        """Return a file's whole content."""
+        """Return the content of a file."""
         return path.read_bytes()
 
     def append(self, path: Path, data: bytes) -> None:
-        """Write at the end, creating the file; a failure may leave a part."""
+        """Append to a file, created if missing; a failure may write only some bytes."""
         fd = self._open(path)
         rest = memoryview(data)
         while rest:
             rest = rest[os.write(fd, rest) :]
 
     def truncate(self, path: Path, size: int) -> None:
-        """Cut a file to ``size`` bytes."""
+        """Truncate a file to ``size`` bytes."""
         os.ftruncate(self._open(path), size)
 
     def sync(self, path: Path) -> None:
@@ -90,7 +90,7 @@
         os.fsync(self._open(path))
 
     def sync_folder(self, path: Path) -> None:
-        """Return once names created or changed in the folder are on disk."""
+        """Return once files created or renamed in the folder are on disk."""
         fd = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -98,18 +98,18 @@
             os.close(fd)
 
     def rename(self, source: Path, target: Path) -> None:
-        """Give a file a new name atomically, replacing what had it."""
+        """Rename a file atomically, replacing a file of the new name."""
         self.close()
         os.replace(source, target)
 
     def remove(self, path: Path) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
         if path == self._path:
             self.close()
         path.unlink(missing_ok=True)
 
     def close(self) -> None:
-        """Close the file kept open."""
+        """Close the open file, if any."""
         if self._path is not None:
             os.close(self._fd)
             self._path = None
--- a/gooseberrydale/version/replication/follower.py
+++ b/gooseberrydale/version/replication/follower.py
@@ -1,6 +1,6 @@
-"""The follower's side: entries and snapshots from the leader.
+"""The follower's side of replication: handles entries and snapshots.
 
-A reply is sent only after the sync of what it acknowledges.
+A reply is sent only after the data that it acknowledges is synced.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 
 
 def on_append(core: Core, source: Member, req: AppendReq, now: float) -> None:
-    """Take entries over from the leader, or say where the logs part."""
+    """Append the leader's entries, or reply where the logs may still agree."""
     if not _accept_leader(core, source, req.term, req.sent_at, now):
         return
     match = req.prev_index + len(req.entries)
-    if not _fits(core, req):
+    if not _matches_log(core, req):
         hint = _last_possible_match(core, req.prev_index)
         core.send(source, AppendReply(core.state.term, False, hint, req.sent_at))
         return
@@ -44,35 +44,38 @@
         core.send(source, AppendReply(core.state.term, False, 0, sent_at))
         return False
     core.follow(term, source)
-    core.heard_at = now
+    core.leader_contact_at = now
     core.defer_election(now)
     return True
 
 
-def _fits(core: Core, req: AppendReq) -> bool:
+def _matches_log(core: Core, req: AppendReq) -> bool:
     if req.prev_index <= core.commit:
-        # Committed entries are the same everywhere; some may be compacted here.
+        # Committed entries are equal on all replicas; here some may be compacted.
         return True
     return core.log.term_at(req.prev_index) == req.prev_term
 
 
 def _last_possible_match(core: Core, prev_index: int) -> int:
-    """Skip the whole term in which the logs part."""
+    """The highest index at which the logs may agree.
+
+    It skips all entries of the term in which they conflict.
+    """
     hint = min(core.log.last_index, prev_index - 1)
-    parted = core.log.term_at(prev_index)
-    while hint > core.commit and core.log.term_at(hint) == parted:
+    conflicting_term = core.log.term_at(prev_index)
+    while hint > core.commit and core.log.term_at(hint) == conflicting_term:
         hint -= 1
     return max(hint, core.commit)
 
 
 def _store(core: Core, entries: tuple[Entry, ...]) -> None:
-    """Append what is new; truncate only at a real conflict."""
+    """Append new entries; truncate only at a conflicting entry."""
     new = _new_entries(core, entries)
     if not new:
         return
     if new[0].index <= core.log.last_index:
         core.log.truncate(new[0].index, core.commit)
-        core.forget_synced_after_end()
+        core.clamp_synced()
         core.out.append(Truncate(new[0].index))
     for entry in new:
         core.log.append(entry)
@@ -87,20 +90,20 @@
         if term == entry.term:
             continue
         if entry.index <= core.commit:
-            raise InvariantError(f"committed entry {entry.index} would change")
+            raise InvariantError(f"committed entry {entry.index} would be overwritten")
         return entries[number:]
     return ()
 
 
 def on_snapshot(core: Core, source: Member, req: SnapshotReq, now: float) -> None:
-    """Replace log and state machine by the leader's snapshot if it is newer."""
+    """Install the leader's snapshot if it is newer than the commit index."""
     if not _accept_leader(core, source, req.term, req.sent_at, now):
         return
     snapshot = req.snapshot
     if snapshot.index > core.commit:
-        suffix = _suffix(core, snapshot.index, snapshot.term)
+        suffix = _entries_after_snapshot(core, snapshot.index, snapshot.term)
         core.log.reset(snapshot)
-        core.forget_synced_after_end()
+        core.clamp_synced()
         for entry in suffix:
             core.log.append(entry)
         core.commit = snapshot.index
@@ -111,7 +114,7 @@
     core.send(source, reply)
 
 
-def _suffix(core: Core, index: int, term: int) -> tuple[Entry, ...]:
+def _entries_after_snapshot(core: Core, index: int, term: int) -> tuple[Entry, ...]:
     log = core.log
     if log.term_at(index) != term:
         return ()
--- a/gooseberrydale/version/replication/joining.py
+++ b/gooseberrydale/version/replication/joining.py
@@ -1,13 +1,13 @@
 """Replacement of members: catch up, remove the lost identity, add the new one.
 
-A replica whose own log doesn't name it asks everyone to join.  The leader catches
-it up without a vote.  If its name belongs to another identity that has fallen
-silent, that one is removed first; both changes are entries of their own, and the
-second waits until the first is committed, so that quorums before and after a change
-always overlap.
-
-In an open log (``RaftCfg.open_to``) a replica under a new name becomes a member
-while there are places, and takes the place of a voter that has been silent for long.
+A replica that isn't a member in its own log sends join requests to all others.  The
+leader replicates the log to it without a vote, as a learner.  If the replica's name
+belongs to another identity that is silent, that identity is removed first.  Both
+changes are separate entries, and the second waits until the first is committed, so
+quorums before and after a change always overlap.
+
+In an open group (``RaftCfg.open_to``) a replica with a new name becomes a member while
+there are fewer voters than allowed, or replaces a voter that was silent for too long.
 """
 
 from __future__ import annotations
@@ -25,11 +25,11 @@
     Membership,
 )
 
-JOIN_EVERY_HEARTBEATS = 2
+HEARTBEATS_PER_JOIN_REQUEST = 2
 
 
 class RepairState(StrEnum):
-    """How a replica name stands, as its leader sees it."""
+    """How far the leader has got with the member of a replica name."""
 
     DONE = "done"
     UNREACHABLE = "unreachable"
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Repair:
-    """The state of one replica name, and the identity that holds or wants it."""
+    """The state of one replica name, and the identity that has it or joins with it."""
 
     name: str
     identity: str
@@ -48,26 +48,26 @@
 
 
 def tick(core: Core, now: float) -> None:
-    """Ask to join, or as leader carry replacements on."""
+    """Request to join if needed; as leader, make the next membership change."""
     if core.role is Role.LEADER:
-        _forget_gone(core, now)
-        _change_next(core, now)
+        _drop_inactive_learners(core, now)
+        _change_members(core, now)
     elif now >= core.join_at and wants_to_join(core):
-        core.join_at = now + JOIN_EVERY_HEARTBEATS * core.cfg.heartbeat_s
+        core.join_at = now + HEARTBEATS_PER_JOIN_REQUEST * core.cfg.heartbeat_s
         for name in sorted(core.known_names - {core.me.name}):
             core.send(Member(name, ""), JoinReq())
 
 
 def wants_to_join(core: Core) -> bool:
-    """Whether to ask the others for a place in the cluster."""
-    # A voter without a leader may have been replaced without knowing it.
+    """Whether to send join requests to the other replicas."""
+    # A voter without a leader may have been replaced while it was disconnected.
     return not core.is_voter or core.role is Role.PRE_CANDIDATE
 
 
 def on_request(core: Core, source: Member, now: float) -> None:
-    """Start or go on catching up a replica that isn't a member."""
+    """Start or continue to replicate the log to a replica that isn't a member."""
     if core.role is not Role.LEADER:
-        _pass_on(core, source)
+        _forward_to_leader(core, source)
         return
     if not core.may_join(source.name):
         return
@@ -80,44 +80,49 @@
         leader.probe(core, progress, now)
 
 
-def _pass_on(core: Core, source: Member) -> None:
-    """Let the leader know of a replica that may not know it; open logs only."""
-    leads = core.leader
+def _forward_to_leader(core: Core, source: Member) -> None:
+    """Forward a join request to the leader; in open groups only.
+
+    The joining replica may not know the leader.
+    """
+    current_leader = core.leader
     if (
         not core.cfg.open_to
-        or leads is None
-        or source.name in (leads.name, core.me.name)
+        or current_leader is None
+        or source.name in (current_leader.name, core.me.name)
     ):
         return
-    # Under the name of its sender, to whom the leader answers.
-    envelope = Envelope(core.state.cluster, source, leads.identity, JoinReq())
-    core.out.append(Send(leads.name, envelope, after_sync=False))
+    # The source stays the joining replica: the leader answers to it.
+    envelope = Envelope(core.state.cluster, source, current_leader.identity, JoinReq())
+    core.out.append(Send(current_leader.name, envelope, after_sync=False))
 
 
 def _learners(core: Core) -> list[Progress]:
     membership = core.log.membership
-    found = [p for p in core.progress.values() if not membership.has(p.member.identity)]
-    return sorted(found, key=lambda p: (p.member.name, p.member.identity))
+    learners = [
+        p for p in core.progress.values() if not membership.has(p.member.identity)
+    ]
+    return sorted(learners, key=lambda p: (p.member.name, p.member.identity))
 
 
-def _forget_gone(core: Core, now: float) -> None:
+def _drop_inactive_learners(core: Core, now: float) -> None:
     for progress in _learners(core):
         if progress.joined_at < now - core.cfg.election_max_s:
             del core.progress[progress.member.identity]
 
 
-def _change_next(core: Core, now: float) -> None:
+def _change_members(core: Core, now: float) -> None:
     committed = core.log.membership_index <= core.commit
     if not committed or core.log.term_at(core.commit) != core.state.term:
         return
     for progress in _learners(core):
-        membership = _changed(core, progress, now)
+        membership = _next_membership(core, progress, now)
         if membership is not None:
             leader.change_members(core, membership, now)
             return
 
 
-def _changed(core: Core, progress: Progress, now: float) -> Membership | None:
+def _next_membership(core: Core, progress: Progress, now: float) -> Membership | None:
     if progress.match < core.commit or _is_silent(core, progress, now):
         return None
     membership = core.log.membership
@@ -128,12 +133,12 @@
         return None
     if not core.cfg.open_to or len(membership.members) < core.cfg.open_to:
         return membership.with_member(progress.member)
-    gone = _longest_silent(core, now)
-    return None if gone is None else membership.without(gone)
+    silent = _longest_silent(core, now)
+    return None if silent is None else membership.without(silent)
 
 
 def _longest_silent(core: Core, now: float) -> Member | None:
-    """The voter that was silent for longest, if for long enough to be replaced."""
+    """The voter that has been silent longest, if longer than ``replace_after_s``."""
     others = (m for m in core.log.membership.members if m != core.me)
     silent = [
         core.progress[member.identity]
@@ -142,26 +147,26 @@
             core, core.progress[member.identity], now, core.cfg.replace_after_s
         )
     ]
-    found = min(silent, key=lambda one: one.heard_at, default=None)
-    return None if found is None else found.member
+    longest = min(silent, key=lambda progress: progress.replied_at, default=None)
+    return None if longest is None else longest.member
 
 
 def _is_silent(
     core: Core, progress: Progress, now: float, bound_s: float | None = None
 ) -> bool:
-    heard_at = max(progress.heard_at, core.elected_at)
+    replied_at = max(progress.replied_at, core.elected_at)
     bound_s = core.cfg.election_min_s if bound_s is None else bound_s
-    return heard_at < now - bound_s
+    return replied_at < now - bound_s
 
 
 def repairs(core: Core, now: float) -> tuple[Repair, ...]:
-    """How each configured replica name stands; known to the leader only."""
+    """The state of each known replica name; empty unless leading."""
     if core.role is not Role.LEADER:
         return ()
-    return tuple(_repair(core, name, now) for name in sorted(core.known_names))
+    return tuple(_repair_of(core, name, now) for name in sorted(core.known_names))
 
 
-def _repair(core: Core, name: str, now: float) -> Repair:
+def _repair_of(core: Core, name: str, now: float) -> Repair:
     member = core.log.membership.named(name)
     joining = [p for p in _learners(core) if p.member.name == name]
     if joining:
--- a/gooseberrydale/version/replication/leader.py
+++ b/gooseberrydale/version/replication/leader.py
@@ -1,8 +1,9 @@
-"""The leader's side: replication, commit and the lease.
+"""The leader's side of replication, the commit index and the leader lease.
 
-The lease runs from the sending time of the newest message that a quorum answered;
-each answer implies the promise not to vote for another within ``election_min_s``.
-Only an entry of the leader's own term is committed by counting.
+The lease starts at the sending time of the newest message that a quorum answered: each
+answer implies the promise not to vote for another candidate within ``election_min_s``.
+Only an entry of the leader's own term is committed by counting replicas; earlier
+entries are committed with it.
 """
 
 from __future__ import annotations
@@ -28,9 +29,9 @@
 
 
 def begin(core: Core, now: float) -> None:
-    """Take up the lead in the current term."""
+    """Become the leader of the current term."""
     if core.role is not Role.CANDIDATE or core.state.vote != core.me.identity:
-        raise InvariantError("only an elected candidate leads")
+        raise InvariantError("only a candidate that voted for itself can become leader")
     core.role = Role.LEADER
     core.leader = core.me
     core.check_one_leader(core.me)
@@ -48,7 +49,7 @@
 
 
 def track(core: Core, member: Member) -> Progress:
-    """Return the progress of another replica, starting it if it is new."""
+    """Return the progress of another replica; create it if it is new."""
     if member.identity not in core.progress:
         progress = Progress(member, next=core.log.last_index + 1)
         core.progress[member.identity] = progress
@@ -60,7 +61,7 @@
 
 
 def append(core: Core, entries: list[Entry], now: float) -> None:
-    """Add entries of the own term, write them and send them on."""
+    """Append entries of the own term and replicate them."""
     for entry in entries:
         core.log.append(entry)
     core.out.append(Append(tuple(entries)))
@@ -69,12 +70,12 @@
 
 
 def change_members(core: Core, membership: Membership, now: float) -> None:
-    """Append a membership; the earlier change must be committed."""
+    """Append a membership change; the previous one must be committed."""
     if core.log.membership_index > core.commit:
-        raise InvariantError("two changes of membership at once")
+        raise InvariantError("the previous membership change is not committed yet")
     sizes = len(core.log.membership.members), len(membership.members)
     if abs(sizes[0] - sizes[1]) != 1:
-        raise InvariantError("members change one at a time")
+        raise InvariantError("only one member can be added or removed at a time")
     index = core.log.last_index + 1
     entry = Entry(index, core.state.term, EntryKind.MEMBERS, b"", membership)
     for member in membership.members:
@@ -84,7 +85,7 @@
 
 
 def propose(core: Core, event: Propose, now: float) -> None:
-    """Append commands as one batch, or refuse them if the lease has run out."""
+    """Append commands as one batch; refuse them without a valid lease."""
     if core.role is not Role.LEADER or now >= lease_until(core):
         leader = None if core.role is Role.LEADER else core.leader
         core.out.extend(NotLeader(number, leader) for number, _ in event.commands)
@@ -99,7 +100,7 @@
 
 
 def replicate(core: Core, progress: Progress, now: float) -> None:
-    """Send what the other replica lacks, as far as the window allows."""
+    """Send missing entries, up to ``inflight_entries`` without a reply."""
     if progress.next <= core.log.base_index:
         _send_snapshot(core, progress, now)
         return
@@ -112,11 +113,11 @@
 
 
 def _send_entries(core: Core, progress: Progress, now: float) -> None:
-    """Send a batch; without entries to send it is a heartbeat."""
+    """Send a batch of entries; an empty batch is a heartbeat."""
     prev = progress.next - 1
     term = core.log.term_at(prev)
     if term is None:
-        raise InvariantError(f"entry {prev} is not in the log")
+        raise InvariantError(f"entry {prev} before the batch to send is not in the log")
     entries = core.log.slice(progress.next, core.cfg.batch_entries)
     _send_append(core, progress.member, prev, term, entries, now)
     if progress.probing:
@@ -139,8 +140,8 @@
 
 
 def _send_snapshot(core: Core, progress: Progress, now: float) -> None:
-    patience = core.cfg.election_max_s
-    if progress.snapshot_at is not None and now < progress.snapshot_at + patience:
+    retry_after_s = core.cfg.election_max_s
+    if progress.snapshot_at is not None and now < progress.snapshot_at + retry_after_s:
         return
     progress.snapshot_at = now
     req = SnapshotReq(core.state.term, core.log.snapshot, now)
@@ -148,14 +149,14 @@
 
 
 def heartbeat(core: Core, now: float) -> None:
-    """Send each other replica a message, with entries if it lacks some."""
+    """Send a message to each other replica, with entries that it lacks."""
     core.heartbeat_at = now + core.cfg.heartbeat_s
     for progress in core.progress.values():
         probe(core, progress, now)
 
 
 def probe(core: Core, progress: Progress, now: float) -> None:
-    """Send one message whatever is still unanswered."""
+    """Send one message, even if earlier ones are unanswered."""
     if progress.next <= core.log.base_index:
         _send_append(core, progress.member, 0, 0, (), now)
         _send_snapshot(core, progress, now)
@@ -164,7 +165,7 @@
 
 
 def tick(core: Core, now: float) -> None:
-    """Step down without a lease, else send heartbeats when due."""
+    """Step down if the lease has expired, else send heartbeats when due."""
     if core.role is not Role.LEADER:
         return
     grace = core.elected_at + core.cfg.lease_s
@@ -176,7 +177,7 @@
 
 
 def lease_until(core: Core) -> float:
-    """When the lease runs out; infinite for a cluster of one."""
+    """When the lease expires; infinite in a cluster of one member."""
     membership = core.log.membership
     promises = sorted((_promise(core, m) for m in membership.members), reverse=True)
     return promises[membership.quorum - 1] + core.cfg.lease_s
@@ -190,7 +191,7 @@
 
 
 def on_reply(core: Core, source: Member, reply: AppendReply, now: float) -> None:
-    """Take in a follower's answer; a later term ends the lead."""
+    """Handle a follower's reply; step down if its term is later."""
     if reply.term > core.state.term:
         core.follow(reply.term, None)
         return
@@ -198,20 +199,22 @@
     if core.role is not Role.LEADER or reply.term < core.state.term or not progress:
         return
     progress.promised_at = max(progress.promised_at, reply.sent_at)
-    progress.heard_at = now
+    progress.replied_at = now
     if reply.ok:
-        _matched(core, progress, reply.index)
+        _record_match(core, progress, reply.index)
         replicate(core, progress, now)
     elif reply.sent_at >= progress.probed_at:
-        # Older refusals are of messages sent before the last step back.
+        # Ignore refusals of messages sent before the last probe.
         progress.next = max(progress.match + 1, min(progress.next, reply.index + 1))
         progress.probing = True
         probe(core, progress, now)
 
 
-def _matched(core: Core, progress: Progress, index: int) -> None:
+def _record_match(core: Core, progress: Progress, index: int) -> None:
     if index > core.log.last_index:
-        raise InvariantError(f"a follower matches {index}, past the leader's log")
+        raise InvariantError(
+            f"a follower acknowledged entry {index}, past the end of the log"
+        )
     progress.match = max(progress.match, index)
     if progress.match + 1 >= progress.next:
         progress.probing = False
@@ -222,14 +225,14 @@
 
 
 def on_synced(core: Core, event: Synced) -> None:
-    """Count the own copy of an entry once it is on disk."""
+    """Count the leader's own copy of entries that are now on disk."""
     if core.log.term_at(event.index) == event.term:
         core.synced = event.index
         commit(core)
 
 
 def commit(core: Core) -> None:
-    """Commit the newest entry of the own term that a quorum holds."""
+    """Commit up to the newest entry of the own term that a quorum has synced."""
     if core.role is not Role.LEADER:
         return
     membership = core.log.membership
--- a/gooseberrydale/version/replication/log.py
+++ b/gooseberrydale/version/replication/log.py
@@ -1,7 +1,7 @@
-"""The log in memory: entries after a base, and the memberships they set.
+"""The in-memory log: the entries after a base index, and the memberships they set.
 
-A retained tail before the snapshot lets a follower that is little behind catch up
-without the snapshot.  Lives with its node.
+Some entries before the snapshot are retained, so a follower that is only slightly
+behind can catch up without the snapshot.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
             self.append(entry)
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Replace everything by a snapshot."""
+        """Replace the log by a snapshot; no entries remain."""
         self.snapshot = snapshot
         self.base_index = snapshot.index
         self._base_term = snapshot.term
@@ -52,13 +52,13 @@
 
     def membership_at(self, index: int) -> Membership:
         """The membership in force after ``index``."""
-        found = [m for at, m in self._memberships if at <= index]
-        if not found:
-            raise InvariantError(f"no membership is known at index {index}")
-        return found[-1]
+        memberships = [m for at, m in self._memberships if at <= index]
+        if not memberships:
+            raise InvariantError(f"the membership at index {index} is compacted away")
+        return memberships[-1]
 
     def term_at(self, index: int) -> int | None:
-        """Term of an entry; None if it is compacted away or not there yet."""
+        """Term of an entry; None if it is compacted away or past the end."""
         if index == self.base_index:
             return self._base_term
         if not self.base_index < index <= self.last_index:
@@ -75,27 +75,37 @@
     def append(self, entry: Entry) -> None:
         """Add the next entry."""
         if entry.index != self.last_index + 1:
-            raise InvariantError(f"entry {entry.index} follows {self.last_index}")
+            raise InvariantError(
+                f"entry {entry.index} would follow entry {self.last_index}"
+            )
         if entry.term < self.last_term:
-            raise InvariantError(f"entry {entry.index} falls back in term")
+            raise InvariantError(
+                f"entry {entry.index} has a lower term than the entry before it"
+            )
         self._entries.append(entry)
         if entry.membership is not None:
             self._memberships.append((entry.index, entry.membership))
 
     def truncate(self, index: int, commit: int) -> None:
-        """Drop the entries from ``index`` on; committed ones never go."""
+        """Remove the entries from ``index`` on; committed ones can't be removed."""
         if index <= commit:
-            raise InvariantError(f"entry {index} is committed (up to {commit})")
+            raise InvariantError(
+                f"entry {index} is committed (up to {commit}); can't truncate it"
+            )
         del self._entries[index - self.base_index - 1 :]
         while self._memberships[-1][0] >= index:
             self._memberships.pop()
 
     def compact(self, snapshot: Snapshot, keep: int) -> None:
-        """Take a newer snapshot; keep ``keep`` entries before its index."""
+        """Use a newer snapshot; retain ``keep`` entries up to its index."""
         if snapshot.index <= self.snapshot.index:
-            raise InvariantError(f"snapshot {snapshot.index} is not newer")
+            raise InvariantError(
+                f"snapshot {snapshot.index} is not newer than the current one"
+            )
         if self.term_at(snapshot.index) != snapshot.term:
-            raise InvariantError(f"snapshot {snapshot.index} is not of this log")
+            raise InvariantError(
+                f"snapshot {snapshot.index} has another term than the log's entry"
+            )
         self.snapshot = snapshot
         base = max(self.base_index, snapshot.index - keep)
         base_term = self.term_at(base)
--- a/gooseberrydale/version/replication/machine.py
+++ b/gooseberrydale/version/replication/machine.py
@@ -1,4 +1,4 @@
-"""What the replicated log drives.  Lives as long as the process."""
+"""The protocol of the state machine that the replicated log is applied to."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 
 
 class StateMachine(Protocol):
-    """State that follows from the committed commands alone.
+    """State that is determined by the committed commands only.
 
-    Every replica applies the same commands in the same order, so nothing here may
-    read a clock, random numbers or IO.
+    All replicas apply the same commands in the same order and must reach the same
+    state, so methods must not use a clock, random numbers or IO.
     """
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one committed command; the answer goes to its proposer."""
+        """Apply one committed command; return the reply to its proposer."""
         ...
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the encoded state."""
         ...
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by what ``snapshot`` returned."""
+        """Replace the state by one that ``snapshot`` returned."""
         ...
--- a/gooseberrydale/version/replication/messages.py
+++ b/gooseberrydale/version/replication/messages.py
@@ -1,7 +1,6 @@
-"""What replicas store and send: members, entries, snapshots and peer messages.
+"""Records that replicas store and messages that they exchange.
 
-Indexes and terms count from 1; 0 stands for "before the first".  The messages live
-for one exchange, entries and snapshots for as long as the log.
+Indexes and terms start at 1; 0 means "before the first".
 """
 
 from __future__ import annotations
@@ -24,34 +23,38 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Membership:
-    """The replicas that vote."""
+    """The set of replicas that vote."""
 
     members: tuple[Member, ...] = ()
 
     @property
     def quorum(self) -> int:
-        """How many members make a majority."""
+        """The number of members that form a majority."""
         return len(self.members) // 2 + 1
 
     def has(self, identity: str) -> bool:
-        """Say whether the replica with this identity votes."""
+        """Return whether the replica with this identity is a member."""
         return any(member.identity == identity for member in self.members)
 
     def named(self, name: str) -> Member | None:
-        """Return the member under a replica name, if there is one."""
+        """Return the member with this name, if there is one."""
         return next((m for m in self.members if m.name == name), None)
 
     def with_member(self, member: Member) -> Membership:
-        """Return this membership and one more member."""
+        """Return this membership with ``member`` added."""
         return Membership((*self.members, member))
 
     def without(self, member: Member) -> Membership:
-        """Return this membership less one member."""
+        """Return this membership with ``member`` removed."""
         return Membership(tuple(m for m in self.members if m != member))
 
 
 class EntryKind(StrEnum):
-    """What an entry carries."""
+    """The kind of a log entry.
+
+    NOOP is appended by each new leader, COMMAND holds a command for the state machine,
+    and MEMBERS a new membership.
+    """
 
     NOOP = "noop"
     COMMAND = "command"
@@ -73,7 +76,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class HardState:
-    """What must be on disk before any message that follows from it is sent."""
+    """Term and vote; must be synced before any message that depends on them is sent.
+
+    ``vote`` is the identity voted for in ``term``; empty if none.
+    """
 
     cluster: str = ""
     term: int = 0
@@ -83,7 +89,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The state machine after ``index``, and the membership in force there."""
+    """The state machine after ``index``, and the membership at that index."""
 
     index: int = 0
     term: int = 0
@@ -94,7 +100,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class VoteReq:
-    """Ask for a vote in ``term``; with ``pre`` only whether it would be given."""
+    """Request for a vote in ``term``; with ``pre`` for a pre-vote."""
 
     term: int
     last_index: int
@@ -107,7 +113,7 @@
 class VoteReply:
     """Answer to a :class:`VoteReq`.
 
-    ``term`` is the term asked for if granted, else the voter's own.
+    ``term`` is the requested term if granted, else the voter's current term.
     """
 
     term: int
@@ -118,10 +124,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class AppendReq:
-    """Entries after ``prev_index``; without entries a heartbeat.
+    """Entries that follow ``prev_index``; a heartbeat if there are none.
 
-    ``sent_at`` is the leader's own clock in seconds; the reply returns it, so that
-    the lease counts from before the follower's promise.
+    ``sent_at`` is the leader's clock in seconds.  The reply repeats it, so the leader's
+    lease starts before the follower's promise does.
     """
 
     term: int
@@ -137,8 +143,8 @@
 class AppendReply:
     """Answer to an :class:`AppendReq` or a :class:`SnapshotReq`.
 
-    If ``ok``, the follower's log is synced and equal to the leader's up to
-    ``index``; if not, ``index`` is where the leader should try next.
+    If ``ok``, the follower's log is synced and equal to the leader's up to ``index``;
+    if not, the leader should try again with entries after ``index``.
     """
 
     term: int
@@ -150,7 +156,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class SnapshotReq:
-    """A whole snapshot, for a follower whose next entry is compacted away."""
+    """A snapshot for a follower whose next entry is compacted away."""
 
     term: int
     snapshot: Snapshot
@@ -160,7 +166,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class JoinReq:
-    """A replica with an identity that is no member asks to be caught up."""
+    """Request of a replica that isn't a member to become one."""
 
 
 PeerMessage = VoteReq | VoteReply | AppendReq | AppendReply | SnapshotReq | JoinReq
@@ -168,10 +174,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A peer message with its addresses.
+    """A peer message with its sender and receiver.
 
-    An empty ``target`` reaches whoever runs under the name; an empty ``cluster``
-    comes from a replica that belongs to none yet.
+    An empty ``target`` addresses any identity that runs under the receiver's name; an
+    empty ``cluster`` means that the sender doesn't belong to a cluster yet.
     """
 
     cluster: str
--- a/gooseberrydale/version/replication/raft.py
+++ b/gooseberrydale/version/replication/raft.py
@@ -1,7 +1,7 @@
-"""One replica's decisions: events in, actions out, no IO and no clock.
+"""The Raft node of one replica: takes events, returns actions.
 
-Lives as long as the process; what must outlast it is written by the owner as the
-actions ask.
+It does no IO and reads no clock.  Its owner executes the actions, which include writing
+to disk all state that must survive a restart.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Stored:
-    """What a replica finds on its disk."""
+    """What a replica reads from its disk when it starts."""
 
     state: HardState = HardState()
     snapshot: Snapshot = Snapshot()
@@ -50,7 +50,7 @@
 
 
 class RaftNode:
-    """The decisions of one replica; times are seconds of the owner's clock."""
+    """The Raft node of one replica; times are seconds of the owner's clock."""
 
     def __init__(
         self,
@@ -65,10 +65,11 @@
         self._noted_commit = stored.commit
 
     def begin(self) -> list[Action]:
-        """Return what to do first: apply what was known to be committed before.
+        """Return the actions that apply the entries committed before the start.
 
-        Entries of the log up to the noted commit are those that were committed, as
-        the note is written after them; some may be lost, and are sent again.
+        The commit note is written after the entries up to it were synced, so log
+        entries up to the note are the committed ones.  If the log ends before the
+        note, the leader sends the missing entries again.
         """
         core = self._core
         core.advance_commit(max(core.commit, min(self._noted_commit, self.last_index)))
@@ -76,7 +77,7 @@
         return actions
 
     def step(self, event: Event, now: float) -> list[Action]:
-        """Take in one event and return what to do, in order."""
+        """Handle one event; return the actions to execute, in order."""
         core = self._core
         match event:
             case Tick():
@@ -93,10 +94,10 @@
         return actions
 
     def may_lead(self, now: float) -> bool:
-        """Whether this replica may answer and give orders as leader.
+        """Whether this replica may act as leader and answer requests.
 
-        It must hold a lease, and have committed in its own term, so that its state
-        machine has everything that was committed before.
+        It must have a valid lease and have committed an entry of its own term, because
+        only then its state machine contains everything committed before.
         """
         core = self._core
         if core.role is not Role.LEADER or now >= leader.lease_until(core):
@@ -116,12 +117,12 @@
 
     @property
     def role(self) -> Role:
-        """What the replica does at present."""
+        """The current role of the replica."""
         return self._core.role
 
     @property
     def leader(self) -> Member | None:
-        """Who leads as far as is known."""
+        """The current leader, if one is known."""
         return self._core.leader
 
     @property
@@ -151,7 +152,7 @@
 
     @property
     def caught_up(self) -> bool:
-        """Whether all is here that was committed when this replica came back.
+        """Whether all entries committed before this replica started are applied.
 
         Until then its state machine may be older than it was before the restart.
         """
@@ -161,7 +162,7 @@
         return core.caught_up
 
     def repairs(self, now: float) -> tuple[Repair, ...]:
-        """How each configured replica name stands; empty unless leading."""
+        """The state of each known replica name; empty unless leading."""
         return joining.repairs(self._core, now)
 
     def _tick(self, now: float) -> None:
@@ -195,7 +196,11 @@
                 joining.on_request(core, source, now)
 
     def _is_for_me(self, envelope: Envelope) -> bool:
-        """Keep clusters and identities apart; a new replica joins who leads it."""
+        """Reject messages of other clusters or to other identities.
+
+        A new replica without a cluster adopts that of the first leader it receives a
+        message from.
+        """
         core, body = self._core, envelope.body
         if isinstance(body, JoinReq):
             return envelope.cluster in ("", core.state.cluster)
--- a/gooseberrydale/version/replication/records.py
+++ b/gooseberrydale/version/replication/records.py
@@ -1,9 +1,9 @@
-"""Records with lengths and checksums, and what a damaged end of a file means.
+"""Records with length and checksum, and detection of torn or damaged files.
 
-A record is a header (length of the payload, its checksum, a checksum of those two)
-and the payload.  After a crash the end of a file may be torn: it stops within a
-record, or whole disk sectors of it were never written and read as zeros.  Anything
-else that doesn't fit its checksum was damaged later.
+A record is a header (payload length, payload checksum, checksum of these two) and the
+payload.  After a crash the end of a file may be torn: the file ends within a record, or
+whole disk sectors were never written and read as zeros.  Any other checksum mismatch
+means that the file was damaged after it was written.
 """
 
 from __future__ import annotations
@@ -16,14 +16,14 @@
 _HEADER = struct.Struct("<III")
 HEADER_BYTES = _HEADER.size
 SECTOR_BYTES = 512
-MIN_ZERO_BYTES = 8  # fewer zeros may well be data; then the file counts as damaged
+MIN_ZERO_BYTES = 8  # fewer zeros may be data, so they don't show a torn write
 
 
 @dataclass(frozen=True, slots=True)
 class Scan:
-    """What a file holds: ``payloads``, then ``end``, where the sound part stops.
+    """The valid records of a file: their payloads, and ``end``, the offset after them.
 
-    ``damaged`` is True if what follows can't come from a torn write.
+    ``damaged`` is True if what follows ``end`` can't be the result of a torn write.
     """
 
     payloads: tuple[bytes, ...]
@@ -32,13 +32,13 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """Return the record of a payload."""
+    """Return ``payload`` as a record, with its header."""
     lengths = _LENGTHS.pack(len(payload), zlib.crc32(payload))
     return lengths + struct.pack("<I", zlib.crc32(lengths)) + payload
 
 
 def scan(data: bytes) -> Scan:
-    """Read records up to the first one that isn't whole."""
+    """Read records up to the first one that is incomplete or invalid."""
     payloads: list[bytes] = []
     offset = 0
     while offset < len(data):
@@ -51,7 +51,10 @@
 
 
 def _read(data: bytes, offset: int) -> tuple[bytes | None, int]:
-    """Return the payload and its end; without a sound one where it would end."""
+    """Return the payload at ``offset`` and its end; None if the record is invalid.
+
+    The end is where the record would end by its header, if that is valid.
+    """
     start = offset + HEADER_BYTES
     if start > len(data):
         return None, start
@@ -70,19 +73,19 @@
     first = offset
     while first < stop:
         sector_end = (first // SECTOR_BYTES + 1) * SECTOR_BYTES
-        part = data[first : min(sector_end, stop)]
-        if len(part) >= MIN_ZERO_BYTES and not any(part):
+        chunk = data[first : min(sector_end, stop)]
+        if len(chunk) >= MIN_ZERO_BYTES and not any(chunk):
             return True
         first = sector_end
     return False
 
 
 def find_after(data: bytes, offset: int) -> list[bytes]:
-    """Payloads of sound records anywhere after ``offset``, for damage reports."""
-    found = []
+    """Payloads of valid records anywhere after ``offset``, to detect damage."""
+    payloads = []
     while offset + HEADER_BYTES <= len(data):
         payload, stop = _read(data, offset)
         if payload is not None:
-            found.append(payload)
+            payloads.append(payload)
         offset = offset + 1 if payload is None else stop
-    return found
+    return payloads
--- a/gooseberrydale/version/replication/storage.py
+++ b/gooseberrydale/version/replication/storage.py
@@ -1,7 +1,4 @@
-"""What keeps a replica's log across restarts: the protocol and its errors.
-
-Lives as long as the process; what it keeps lives as long as the disk.
-"""
+"""The protocol of the storage that retains a replica's log across restarts."""
 
 from __future__ import annotations
 
@@ -13,57 +10,57 @@
 
 
 class StorageError(ProblemError):
-    """The storage can't do what was asked."""
+    """Base class of storage errors."""
 
 
 class DiskFullError(StorageError):
-    """Out of space; nothing is lost, the same call may be made again."""
+    """The disk is full; nothing is lost and the same call may be repeated."""
 
 
 class DiskDamagedError(StorageError):
-    """Synced data doesn't fit its checksum; the disk counts as lost."""
+    """Synced data has a wrong checksum; the disk must be treated as lost."""
 
 
 class DiskFailedError(StorageError):
-    """The system refused an operation; the disk counts as lost."""
+    """The system failed an operation; the disk must be treated as lost."""
 
 
 class Storage(Protocol):
-    """Writes are collected; nothing may be acknowledged before ``sync`` returns.
+    """Buffers writes until ``sync``; acknowledge them only after it returns.
 
-    After :class:`DiskFullError` everything collected is kept for the next try.
+    After :class:`DiskFullError` all buffered writes are retained for the next ``sync``.
     """
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Collect entries that follow the last one."""
+        """Buffer entries to append to the log."""
         ...
 
     def truncate(self, index: int) -> None:
-        """Collect the removal of the entries from ``index`` on."""
+        """Buffer the removal of the entries from ``index`` on."""
         ...
 
     def note_commit(self, index: int) -> None:
-        """Collect a note of what is committed; it need not survive."""
+        """Record the commit index for ``write_note``; it may be lost in a crash."""
         ...
 
     def write_note(self) -> None:
-        """Put the note on disk; call it only after a ``sync``."""
+        """Write the recorded commit index to disk; call only after ``sync``."""
         ...
 
     def save_state(self, state: HardState) -> None:
-        """Collect the hard state."""
+        """Buffer the hard state."""
         ...
 
     def sync(self) -> None:
-        """Put everything collected on disk, with one sync."""
+        """Write everything buffered to disk, with one sync."""
         ...
 
     def save_snapshot(
         self, snapshot: Snapshot, state: HardState, entries: Sequence[Entry]
     ) -> None:
-        """Replace all that is stored, atomically and synced."""
+        """Replace the snapshot and the log; both are synced."""
         ...
 
     def close(self) -> None:
-        """Close the files; what was not synced is forgotten."""
+        """Close the files; what was not synced is discarded."""
         ...
--- a/gooseberrydale/version/route_table.py
+++ b/gooseberrydale/version/route_table.py
@@ -1,7 +1,7 @@
 """Finds the route and the workspace of a request in the document in force.
 
-Lives as long as the document.  A look-up costs as many steps as the path has parts,
-however many routes there are.
+A table is built once per document.  The cost of a lookup depends on the number of path
+segments, not on the number of routes.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class RouteTable:
-    """The routes of one document by host and prefix, and its workspaces by key."""
+    """Routes of one document by host and path prefix, and workspaces by key."""
 
     def __init__(self, declared: Declared) -> None:
         self.declared = declared
@@ -36,11 +36,11 @@
         return self.declared.workspaces is not None
 
     def route(self, host: str, path: str) -> Route | None:
-        """The route of ``host`` with the longest prefix that begins ``path``."""
+        """The route of ``host`` with the longest path prefix that matches ``path``."""
         by_prefix = self._by_host.get(host)
         if by_prefix is None:
             return None
-        for prefix in reversed(_beginnings(path, self._depth)):
+        for prefix in reversed(_slash_prefixes(path, self._depth)):
             if prefix in by_prefix:
                 return by_prefix[prefix]
         return None
@@ -50,11 +50,11 @@
         return None if key is None else self._by_key.get(key)
 
 
-def _beginnings(path: str, most: int) -> list[str]:
-    """The first ``most`` beginnings of ``path`` that end with a slash."""
-    found: list[str] = []
+def _slash_prefixes(path: str, max_count: int) -> list[str]:
+    """The ``max_count`` shortest prefixes of ``path`` that end with a slash."""
+    prefixes: list[str] = []
     end = path.find("/")
-    while end >= 0 and len(found) < most:
-        found.append(path[: end + 1])
+    while end >= 0 and len(prefixes) < max_count:
+        prefixes.append(path[: end + 1])
         end = path.find("/", end + 1)
-    return found
+    return prefixes
--- a/gooseberrydale/version/structuring.py
+++ b/gooseberrydale/version/structuring.py
@@ -1,9 +1,8 @@
-"""Turns plain tables, from TOML or JSON, into dataclasses.
+"""Converts tables parsed from TOML or JSON to dataclasses.
 
-Declarations, the operators' requests and the settings go through it.
-
-Nothing is converted silently and unknown keys are refused.  All faults are found
-in one go, each with its dotted key and a remedy.
+It is used for declarations, operators' requests and settings.  Values of a wrong type
+are not converted silently, and unknown keys are refused.  All faults are reported at
+once, each with its dotted key and a remedy.
 """
 
 from __future__ import annotations
@@ -26,7 +25,7 @@
 
 T = TypeVar("T")
 
-_WANTED = {
+_TYPE_DESCRIPTIONS = {
     str: "a string",
     int: "a whole number",
     float: "a number",
@@ -38,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FieldFault:
-    """One fault: the dotted key, what is wrong, and what to do."""
+    """A fault in one field: its dotted key, the reason and the remedy."""
 
     key: str
     reason: str
@@ -49,24 +48,24 @@
 
 
 class _WrongValueError(ValueError):
-    """A value is not what its key needs; the text is the remedy."""
+    """A value has the wrong type or content; the message is the remedy."""
 
 
 def structure(value: Any, cls: type[T]) -> Result[T, tuple[FieldFault, ...]]:
-    """Return ``value`` as an instance of the dataclass ``cls``, or all its faults."""
+    """Convert ``value`` to the dataclass ``cls``, or return all its faults."""
     if not isinstance(value, dict):
-        return Err((FieldFault("", "is no table", "write a table"),))
+        return Err((FieldFault("", "is not a table", "write a table"),))
     try:
         return Ok(_converter.structure(value, cls))
     except (ClassValidationError, IterableValidationError) as exc:
-        return Err(tuple(_walk(exc, "")))
+        return Err(tuple(_collect_faults(exc, "")))
 
 
-def _walk(exc: BaseException, key: str) -> Iterator[FieldFault]:
+def _collect_faults(exc: BaseException, key: str) -> Iterator[FieldFault]:
     match exc:
         case ClassValidationError() | IterableValidationError():
             for inner in exc.exceptions:
-                yield from _walk(inner, _joined(key, inner))
+                yield from _collect_faults(inner, _child_key(key, inner))
         case ForbiddenExtraKeysError():
             known = ", ".join(sorted(field.name for field in fields(exc.cl)))
             for name in sorted(exc.extra_fields):
@@ -80,7 +79,7 @@
             yield FieldFault(key, "has the wrong type", "write a table or a list")
 
 
-def _joined(key: str, exc: BaseException) -> str:
+def _child_key(key: str, exc: BaseException) -> str:
     if isinstance(exc, KeyError):
         return key
     for note in getattr(exc, "__notes__", ()):
@@ -95,45 +94,47 @@
     return f"{key}.{name}" if key else name
 
 
-def _strict(wanted: type) -> Callable[[Any, Any], Any]:
+def _strict_hook(wanted: type) -> Callable[[Any, Any], Any]:
     accepted = _ACCEPTED.get(wanted, (wanted,))
 
-    def take(value: Any, cls: Any) -> Any:
-        # The hook of str is also asked for each StrEnum, as for any subclass.
+    def structure_value(value: Any, cls: Any) -> Any:
+        # cattrs calls the hook of str for its subclasses, too, such as StrEnum.
         if issubclass(cls, StrEnum):
-            return _one_of(value, cls)
+            return _structure_enum(value, cls)
         if isinstance(value, bool) and wanted is not bool:
-            raise _WrongValueError(f"write {_WANTED[wanted]}")
+            raise _WrongValueError(f"write {_TYPE_DESCRIPTIONS[wanted]}")
         if not isinstance(value, accepted):
-            raise _WrongValueError(f"write {_WANTED[wanted]}")
+            raise _WrongValueError(f"write {_TYPE_DESCRIPTIONS[wanted]}")
         return wanted(value)
 
-    return take
+    return structure_value
 
 
-def _one_of(value: Any, cls: Any) -> Any:
+def _structure_enum(value: Any, cls: Any) -> Any:
     try:
         return cls(value)
     except ValueError:
-        listed = ", ".join(cls)
-        raise _WrongValueError(f"write one of {listed}") from None
+        choices = ", ".join(cls)
+        raise _WrongValueError(f"write one of {choices}") from None
 
 
-def _strings(value: Any, _: Any) -> tuple[str, ...]:
+def _structure_strings(value: Any, _: Any) -> tuple[str, ...]:
     if not isinstance(value, list) or not all(isinstance(v, str) for v in value):
         raise _WrongValueError("write a list of strings")
     return tuple(value)
 
 
-def _is(wanted: Any) -> Callable[[Any], bool]:
+def _is_type(wanted: Any) -> Callable[[Any], bool]:
     return lambda cls: bool(cls == wanted)
 
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(forbid_extra_keys=True, detailed_validation=True)
-    for wanted in _WANTED:
-        converter.register_structure_hook(wanted, _strict(wanted))
-    converter.register_structure_hook_func(_is(tuple[str, ...]), _strings)
+    for wanted in _TYPE_DESCRIPTIONS:
+        converter.register_structure_hook(wanted, _strict_hook(wanted))
+    converter.register_structure_hook_func(
+        _is_type(tuple[str, ...]), _structure_strings
+    )
     return converter
 
 
--- a/gooseberrydale/version/validation.py
+++ b/gooseberrydale/version/validation.py
@@ -1,7 +1,7 @@
-"""Checks of declarations; every fault is found at once, each with its remedy.
+"""Checks declarations and reports all faults at once, each with a remedy.
 
-Pure functions over one version of the configuration.  Operators' tools run them
-before a change is sent, the control state runs them again before it commits.
+Pure functions over one revision of the configuration.  Operators' tools call them
+before they send a change; the control state calls them again before it commits it.
 """
 
 from __future__ import annotations
@@ -22,40 +22,44 @@
 
 
 def profile_faults(profile: Profile) -> Iterator[FieldFault]:
-    """Yield what is wrong with a profile taken alone."""
+    """Yield the faults of a single profile."""
     key = f"profiles.{profile.name}"
     if not NAME_PATTERN.fullmatch(profile.name):
-        yield _wrong(key, "name", NAME_REMEDY)
+        yield _invalid_field(key, "name", NAME_REMEDY)
     if not NAME_PATTERN.fullmatch(profile.pool):
-        yield _wrong(key, "pool", "name the pool of upstreams that serves it")
+        yield _invalid_field(key, "pool", "name the pool of upstreams that serves it")
     if profile.kind is ProfileKind.COMPLETION and not profile.model:
-        yield _wrong(key, "model", "name the model that the pool's upstreams serve")
+        yield _invalid_field(
+            key, "model", "name the model that the pool's upstreams serve"
+        )
     if not _within(profile.deadline_s, 0.0, MAX_DEADLINE_S) or not profile.deadline_s:
         remedy = f"write seconds above 0, {MAX_DEADLINE_S:g} at most"
-        yield _wrong(key, "deadline_s", remedy)
+        yield _invalid_field(key, "deadline_s", remedy)
     if not _within(profile.waste_weight, 0.0, math.inf):
-        yield _wrong(key, "waste_weight", "write a finite number of 0 or more")
+        yield _invalid_field(key, "waste_weight", "write a finite number of 0 or more")
     if abs(profile.priority) > MAX_PRIORITY:
-        remedy = f"write one from -{MAX_PRIORITY} to {MAX_PRIORITY}"
-        yield _wrong(key, "priority", remedy)
+        remedy = f"write a whole number from -{MAX_PRIORITY} to {MAX_PRIORITY}"
+        yield _invalid_field(key, "priority", remedy)
 
 
 def workspace_faults(workspace: Workspace) -> Iterator[FieldFault]:
-    """Yield what is wrong with a workspace taken alone."""
+    """Yield the faults of a single workspace."""
     key = f"workspaces.{workspace.name}"
     if not NAME_PATTERN.fullmatch(workspace.name):
-        yield _wrong(key, "name", NAME_REMEDY)
+        yield _invalid_field(key, "name", NAME_REMEDY)
     if not _within(workspace.share, 0.0, math.inf) or not workspace.share:
-        yield _wrong(key, "share", "write a finite number above 0")
+        yield _invalid_field(key, "share", "write a finite number above 0")
     for field, _ in () if workspace.quota is None else quota_faults(workspace.quota):
-        yield _wrong(key, f"quota.{field}", QUOTA_REMEDY)
+        yield _invalid_field(key, f"quota.{field}", QUOTA_REMEDY)
     for digest in workspace.key_digests:
         if not DIGEST_PATTERN.fullmatch(digest):
-            yield _wrong(key, "key_digests", "write SHA-256 digests as 64 hex digits")
+            yield _invalid_field(
+                key, "key_digests", "write SHA-256 digests as 64 hex digits"
+            )
 
 
 def config_faults(config: Config) -> Iterator[FieldFault]:
-    """Yield what is wrong with all declarations together."""
+    """Yield the faults that concern several declarations together."""
     yield from _unknown_profiles(config)
     yield from _shared_keys(config)
 
@@ -80,11 +84,11 @@
                 yield FieldFault(
                     f"workspaces.{workspace.name}.key_digests",
                     f"holds a key of workspace {owner!r}",
-                    "give each workspace keys of its own",
+                    "give each workspace different keys",
                 )
 
 
-def _wrong(key: str, name: str, remedy: str) -> FieldFault:
+def _invalid_field(key: str, name: str, remedy: str) -> FieldFault:
     return FieldFault(f"{key}.{name}", "is not valid", remedy)
 
 
