--- a/gooseberrydale/version/acknowledgements.py
+++ b/gooseberrydale/version/acknowledgements.py
@@ -1,7 +1,7 @@
 """Tracks which configuration revision each process has acknowledged.
 
 The state is kept in memory and rebuilt from the mesh after a restart.  A process
-that stops reporting stays listed for ``FORGET_AFTER_S``, because it may still be
+that stops reporting stays listed for ``STATUS_RETENTION_S``, because it may still be
 running an old revision; after that it is assumed to have ended.  The module reads
 no clock: ``now`` is loop time in seconds.
 """
@@ -11,8 +11,8 @@
 import math
 from dataclasses import dataclass
 
-FORGET_AFTER_S = 300.0
-SETTLE_S = 3.0
+STATUS_RETENTION_S = 300.0
+STARTUP_GRACE_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
     def start(self, now: float) -> None:
         """Start the grace period in which processes connect and the list is partial."""
-        self._grace_ends_at = now + SETTLE_S
+        self._grace_ends_at = now + STARTUP_GRACE_S
 
     def in_force_everywhere(self, revision: int, now: float) -> bool:
         """Whether every listed process has ``revision`` or a higher one in force.
@@ -58,7 +58,7 @@
         expired = [
             key
             for key, status in self._statuses.items()
-            if status.heard_at + FORGET_AFTER_S <= now
+            if status.heard_at + STATUS_RETENTION_S <= now
         ]
         for key in expired:
             del self._statuses[key]
--- a/gooseberrydale/version/replication/election.py
+++ b/gooseberrydale/version/replication/election.py
@@ -65,7 +65,7 @@
 
 def _promise_holds(core: Core, now: float) -> bool:
     if core.role is Role.LEADER:
-        return now < leader.lease_until(core)
+        return now < leader.lease_expires_at(core)
     return now < core.leader_contact_at + core.cfg.election_min_s
 
 
--- a/gooseberrydale/version/replication/leader.py
+++ b/gooseberrydale/version/replication/leader.py
@@ -86,7 +86,7 @@
 
 def propose(core: Core, event: Propose, now: float) -> None:
     """Append commands as one batch; refuse them without a valid lease."""
-    if core.role is not Role.LEADER or now >= lease_until(core):
+    if core.role is not Role.LEADER or now >= lease_expires_at(core):
         leader = None if core.role is Role.LEADER else core.leader
         core.out.extend(NotLeader(number, leader) for number, _ in event.commands)
         return
@@ -169,14 +169,14 @@
     if core.role is not Role.LEADER:
         return
     grace = core.elected_at + core.cfg.lease_s
-    if now >= max(lease_until(core), grace):
+    if now >= max(lease_expires_at(core), grace):
         core.follow(core.state.term, None)
         core.defer_election(now)
     elif now >= core.heartbeat_at:
         heartbeat(core, now)
 
 
-def lease_until(core: Core) -> float:
+def lease_expires_at(core: Core) -> float:
     """When the lease expires; infinite in a cluster of one member."""
     membership = core.log.membership
     promises = sorted((_promise(core, m) for m in membership.members), reverse=True)
--- a/gooseberrydale/version/replication/raft.py
+++ b/gooseberrydale/version/replication/raft.py
@@ -100,7 +100,7 @@
         only then its state machine contains everything committed before.
         """
         core = self._core
-        if core.role is not Role.LEADER or now >= leader.lease_until(core):
+        if core.role is not Role.LEADER or now >= leader.lease_expires_at(core):
             return False
         return core.log.term_at(core.commit) == core.state.term
 
