--- a/gooseberrydale/version/acknowledgements.py
+++ b/gooseberrydale/version/acknowledgements.py
@@ -48,8 +48,8 @@
     def heard(self, status: Standing) -> None:
         """Record a status; statuses of an earlier incarnation are ignored."""
         key = (status.role, status.name)
-        known = self._statuses.get(key)
-        if known is not None and status.incarnation < known.incarnation:
+        previous = self._statuses.get(key)
+        if previous is not None and status.incarnation < previous.incarnation:
             return
         self._statuses[key] = status
 
--- a/gooseberrydale/version/claims.py
+++ b/gooseberrydale/version/claims.py
@@ -80,9 +80,9 @@
 
     def claim(self, req: ClaimReq, now_s: float, limits: Limits) -> ClaimReply:
         """Grant the key to the attempt, or return the claim that already holds it."""
-        known = self._records.get((req.workspace, req.key))
-        if known is not None:
-            return _reply_to_existing(known, req)
+        existing = self._records.get((req.workspace, req.key))
+        if existing is not None:
+            return _reply_to_existing(existing, req)
         if len(req.key) > MAX_KEY_CHARS:
             return ClaimReply(problem=problem(KEY_TOO_LONG, limit=MAX_KEY_CHARS))
         if self._is_full(req.workspace, limits):
@@ -99,62 +99,62 @@
 
     def move(self, req: MoveReq, now_s: float, limits: Limits) -> ClaimReply:
         """Move the claim from a tombstoned attempt to another attempt."""
-        known = self._records.get((req.workspace, req.key))
-        if known is None:
+        existing = self._records.get((req.workspace, req.key))
+        if existing is None:
             return _refuse_unknown(req.key)
-        if known.holder == req.new and known.state is ClaimState.RUNNING:
-            return ClaimReply(granted=True, record=known)
-        if known.state is not ClaimState.RUNNING:
-            return ClaimReply(record=known)
-        if known.holder != req.old:
-            return ClaimReply(record=known, problem=_moved_problem(known))
+        if existing.holder == req.new and existing.state is ClaimState.RUNNING:
+            return ClaimReply(granted=True, record=existing)
+        if existing.state is not ClaimState.RUNNING:
+            return ClaimReply(record=existing)
+        if existing.holder != req.old:
+            return ClaimReply(record=existing, problem=_moved_problem(existing))
         if not req.tombstone:
-            return ClaimReply(record=known, problem=_tombstone_problem(req.old))
+            return ClaimReply(record=existing, problem=_tombstone_problem(req.old))
         expires_s = now_s + limits.claim_ttl_s
-        moved = replace(known, holder=req.new, expires_s=expires_s)
-        self._replace(known, moved)
+        moved = replace(existing, holder=req.new, expires_s=expires_s)
+        self._replace(existing, moved)
         return ClaimReply(granted=True, record=moved)
 
     def release(self, req: ReleaseReq) -> ClaimReply:
         """Remove the claim of an attempt that was tombstoned, which frees its key."""
-        known = self._records.get((req.workspace, req.key))
-        if known is None:
+        existing = self._records.get((req.workspace, req.key))
+        if existing is None:
             return ClaimReply()
-        if known.state is not ClaimState.RUNNING or known.holder != req.holder:
-            return ClaimReply(record=known, problem=_moved_problem(known))
+        if existing.state is not ClaimState.RUNNING or existing.holder != req.holder:
+            return ClaimReply(record=existing, problem=_moved_problem(existing))
         if not req.tombstone:
-            return ClaimReply(record=known, problem=_tombstone_problem(req.holder))
+            return ClaimReply(record=existing, problem=_tombstone_problem(req.holder))
         self._drop((req.workspace, req.key))
         return ClaimReply()
 
     def finish(self, req: FinishReq, now_s: float, limits: Limits) -> ClaimReply:
         """Record the answer; a second answer from the same attempt is ignored."""
-        known = self._records.get((req.workspace, req.key))
-        if known is None:
+        existing = self._records.get((req.workspace, req.key))
+        if existing is None:
             return _refuse_unknown(req.key)
-        if known.holder != req.holder:
-            return ClaimReply(record=known, problem=_moved_problem(known))
-        if known.state is not ClaimState.RUNNING:
-            return ClaimReply(record=known)
-        finished = self._finished(known, req, now_s + limits.claim_ttl_s, limits)
-        self._replace(known, finished)
+        if existing.holder != req.holder:
+            return ClaimReply(record=existing, problem=_moved_problem(existing))
+        if existing.state is not ClaimState.RUNNING:
+            return ClaimReply(record=existing)
+        finished = self._finished(existing, req, now_s + limits.claim_ttl_s, limits)
+        self._replace(existing, finished)
         return ClaimReply(record=finished)
 
     def _finished(
-        self, known: ClaimRecord, req: FinishReq, expires_s: float, limits: Limits
+        self, existing: ClaimRecord, req: FinishReq, expires_s: float, limits: Limits
     ) -> ClaimRecord:
         if req.outcome_unknown:
             state = ClaimState.OUTCOME_UNKNOWN
-            return replace(known, state=state, expires_s=expires_s)
-        kept = self._fits(req, limits)
+            return replace(existing, state=state, expires_s=expires_s)
+        fits = self._fits(req, limits)
         return replace(
-            known,
+            existing,
             state=ClaimState.FINISHED,
             expires_s=expires_s,
             status=req.status,
-            headers=req.headers if kept else (),
-            body=req.body if kept else b"",
-            answer_kept=kept,
+            headers=req.headers if fits else (),
+            body=req.body if fits else b"",
+            answer_kept=fits,
         )
 
     def _fits(self, req: FinishReq, limits: Limits) -> bool:
@@ -209,25 +209,25 @@
         )
 
 
-def _reply_to_existing(known: ClaimRecord, req: ClaimReq) -> ClaimReply:
-    if known.digest != req.digest:
+def _reply_to_existing(existing: ClaimRecord, req: ClaimReq) -> ClaimReply:
+    if existing.digest != req.digest:
         return ClaimReply(problem=problem(KEY_REUSED))
     # The holder retries when the first reply was lost.  Granting it again is safe:
     # the sidecar accepts each attempt only once.
-    granted = known.state is ClaimState.RUNNING and known.holder == req.holder
-    return ClaimReply(granted=granted, record=known)
+    granted = existing.state is ClaimState.RUNNING and existing.holder == req.holder
+    return ClaimReply(granted=granted, record=existing)
 
 
 def _refuse_unknown(key: str) -> ClaimReply:
     return ClaimReply(problem=problem(UNKNOWN_CLAIM, key=key, not_run=None))
 
 
-def _moved_problem(known: ClaimRecord) -> Problem:
-    holder = known.holder
+def _moved_problem(existing: ClaimRecord) -> Problem:
+    holder = existing.holder
     return problem(
         CLAIM_MOVED,
         not_run=None,
-        key=known.key,
+        key=existing.key,
         request_id=holder.request_id,
         attempt=holder.attempt,
     )
--- a/gooseberrydale/version/control_state.py
+++ b/gooseberrydale/version/control_state.py
@@ -215,13 +215,13 @@
         return self._handlers[type(req)](req)
 
     def _change(self, req: ChangeReq) -> ChangeReply:
-        known = self._cached_reply(req)
-        if isinstance(known, Err):
-            self._audit_change(req, self.config, known.err_value.code)
-            return refusal_reply(self.config, known.err_value)
-        if known.ok_value is not None:
+        cached = self._cached_reply(req)
+        if isinstance(cached, Err):
+            self._audit_change(req, self.config, cached.err_value.code)
+            return refusal_reply(self.config, cached.err_value)
+        if cached.ok_value is not None:
             self._audit_change(req, self.config, RESENT)
-            reply: ChangeReply = decode(known.ok_value)
+            reply: ChangeReply = decode(cached.ok_value)
             return reply
         reply = self._try_change(req)
         self._cache_reply(req, reply)
@@ -297,25 +297,25 @@
         self, req: ChangeReq | PlaceOrderReq
     ) -> Result[bytes | None, Problem]:
         """The cached reply, None for a new id, or why the id can't be used."""
-        known = self.replies.get(req.change_id)
-        if known is None:
+        cached = self.replies.get(req.change_id)
+        if cached is None:
             return Ok(None)
-        if known.content != content_digest(req):
+        if cached.content != content_digest(req):
             return Err(problem(CHANGE_ID_REUSED, change_id=req.change_id))
-        return Ok(known.reply)
+        return Ok(cached.reply)
 
     def _cache_reply(self, req: ChangeReq | PlaceOrderReq, reply: Any) -> None:
         item = Remembered(req.change_id, content_digest(req), encode(reply))
         self.replies.add(item, self.limits.change_ids)
 
     def _place_order(self, req: PlaceOrderReq) -> PlaceOrderReply:
-        known = self._cached_reply(req)
-        if isinstance(known, Err):
-            self._audit_order(req, known.err_value.code)
-            return PlaceOrderReply(problem=known.err_value)
-        if known.ok_value is not None:
+        cached = self._cached_reply(req)
+        if isinstance(cached, Err):
+            self._audit_order(req, cached.err_value.code)
+            return PlaceOrderReply(problem=cached.err_value)
+        if cached.ok_value is not None:
             self._audit_order(req, RESENT)
-            reply: PlaceOrderReply = decode(known.ok_value)
+            reply: PlaceOrderReply = decode(cached.ok_value)
             return reply
         reply = self._try_order(req)
         self._cache_reply(req, reply)
--- a/gooseberrydale/version/declaration_file.py
+++ b/gooseberrydale/version/declaration_file.py
@@ -116,10 +116,10 @@
 def _with_keys(
     workspace: Workspace, config: Config, declared: Declarations
 ) -> Workspace:
-    known = config.workspaces.get(workspace.name)
-    if known is None or workspace.name not in declared.keyless:
+    current = config.workspaces.get(workspace.name)
+    if current is None or workspace.name not in declared.keyless:
         return workspace
-    return replace(workspace, key_digests=known.key_digests)
+    return replace(workspace, key_digests=current.key_digests)
 
 
 def _change_lines(
@@ -145,9 +145,9 @@
 
 def _key_lines(old: object, new: Workspace) -> Iterator[str]:
     before = len(old.key_digests) if isinstance(old, Workspace) else 0
-    kept = set(old.key_digests) if isinstance(old, Workspace) else set()
-    added = len(set(new.key_digests) - kept)
-    removed = before - len(kept & set(new.key_digests))
+    old_digests = set(old.key_digests) if isinstance(old, Workspace) else set()
+    added = len(set(new.key_digests) - old_digests)
+    removed = before - len(old_digests & set(new.key_digests))
     if added or removed:
         yield f"    keys: {added} added, {removed} removed"
 
--- a/gooseberrydale/version/declared_checks.py
+++ b/gooseberrydale/version/declared_checks.py
@@ -28,10 +28,10 @@
                 )
 
 
-def _route_faults(route: Route, known: set[str]) -> Iterator[str]:
+def _route_faults(route: Route, pool_names: set[str]) -> Iterator[str]:
     key = f"route {route.name!r}"
     for share in route.shares:
-        if share.pool not in known:
+        if share.pool not in pool_names:
             yield f"{key} names the unknown service {share.pool!r}"
         if not math.isfinite(share.weight) or share.weight < 0:
             yield (
--- a/gooseberrydale/version/orders.py
+++ b/gooseberrydale/version/orders.py
@@ -182,8 +182,8 @@
 
     def _store(self, order: Order) -> None:
         is_open = order.state in OPEN_STATES
-        kept = self._open if is_open else self._closed
-        kept[order.order_id] = order
+        table = self._open if is_open else self._closed
+        table[order.order_id] = order
 
     def _close(self, order: Order, state: OrderState, detail: str) -> None:
         if order.state is not OrderState.ISSUED:
--- a/gooseberrydale/version/replication/core.py
+++ b/gooseberrydale/version/replication/core.py
@@ -49,9 +49,9 @@
     clocks run at slightly different rates.
 
     With ``open_to`` above 0 the group is open: any replica may become a member, its
-    name is its address, ``names`` are the replicas to send join requests to, and at
-    most ``open_to`` replicas vote.  The others receive the log without a vote; one of
-    them replaces a voter that has been silent for ``replace_after_s``.
+    name is its address, ``names`` are the replicas to send join requests to, and no
+    more than ``open_to`` replicas vote.  The others receive the log without a vote;
+    one of them replaces a voter that has been silent for ``replace_after_s``.
     """
 
     names: frozenset[str]
--- a/gooseberrydale/version/replication/joining.py
+++ b/gooseberrydale/version/replication/joining.py
@@ -73,10 +73,10 @@
         return
     if core.log.membership.has(source.identity) or source.name == core.me.name:
         return
-    known = source.identity in core.progress
+    is_tracked = source.identity in core.progress
     progress = leader.track(core, source)
     progress.joined_at = now
-    if not known:
+    if not is_tracked:
         leader.probe(core, progress, now)
 
 
@@ -160,7 +160,7 @@
 
 
 def repairs(core: Core, now: float) -> tuple[Repair, ...]:
-    """The state of each known replica name; empty unless leading."""
+    """The state of each is_tracked replica name; empty unless leading."""
     if core.role is not Role.LEADER:
         return ()
     return tuple(_repair_of(core, name, now) for name in sorted(core.known_names))
--- a/gooseberrydale/version/rollout.py
+++ b/gooseberrydale/version/rollout.py
@@ -117,7 +117,7 @@
     ]
     if left_s is None:
         unanswering = sum(member.name in silent for member in members)
-        # Change at minimum one: silent engines may never answer again.
+        # Change at least one: silent engines may never answer again.
         allowed = max(1, most_at_once(len(members)) - unanswering)
     else:
         dead = sum(member.name in silent for member in members)
--- a/gooseberrydale/version/structuring.py
+++ b/gooseberrydale/version/structuring.py
@@ -67,9 +67,9 @@
             for inner in exc.exceptions:
                 yield from _collect_faults(inner, _child_key(key, inner))
         case ForbiddenExtraKeysError():
-            known = ", ".join(sorted(field.name for field in fields(exc.cl)))
+            known_keys = ", ".join(sorted(field.name for field in fields(exc.cl)))
             for name in sorted(exc.extra_fields):
-                remedy = f"remove it or use one of {known}"
+                remedy = f"remove it or use one of {known_keys}"
                 yield FieldFault(_dotted(key, name), "is not a known key", remedy)
         case KeyError():
             yield FieldFault(_dotted(key, str(exc.args[0])), "is missing", "set it")
--- a/tests/builders_claims.py
+++ b/tests/builders_claims.py
@@ -1,4 +1,4 @@
-"""Builders for tests of claims: control replicas that keep a claim table."""
+"""Fakes and builders for tests of claims."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class FakeControl:
-    """A replica that leads if it has a table, and else names ``leader``."""
+    """A control replica: the leader if it has a table, else it names ``leader``."""
 
     def __init__(self, table: ClaimTable | None, leader: str = "") -> None:
         self.table = table
@@ -37,7 +37,7 @@
 
     @property
     def address(self) -> str:
-        """Where it listens."""
+        """The address that it listens on."""
         return f"127.0.0.1:{self._server.port}"
 
     async def start(self) -> None:
@@ -69,17 +69,17 @@
                 return table.release(req)
             case FinishReq():
                 return table.finish(req, now_s, Limits())
-        raise TypeError(f"no claim request: {req!r}")
+        raise TypeError(f"not a claim request: {req!r}")
 
 
 def holder_at(fake: FakeSidecar, request_id: str) -> Holder:
-    """A holder whose attempt was claimed for ``fake`` but never sent."""
+    """The holder of a claim for an attempt that was never sent to ``fake``."""
     record = fake.record()
     return Holder(request_id, 1, record.name, record.address, record.incarnation)
 
 
 async def answer_bid(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """A service's answer, in two parts."""
+    """A service's answer in two chunks."""
     yield fake.accepted(req, status=201)
     yield fake.chunk(req, 0, BID_BODY[:4])
     yield fake.chunk(req, 1, BID_BODY[4:])
@@ -87,7 +87,7 @@
 
 
 async def answer_bid_late(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """A service's answer once ``release`` is set."""
+    """A service's answer in two chunks, after the sidecar's ``release`` is set."""
     async for frame in beat(fake, req):
         yield frame
     async for frame in answer_bid(fake, req):
@@ -95,21 +95,23 @@
 
 
 def keep_bid(fake: FakeSidecar) -> None:
-    """Answer attaches to a running bid; the newest reader ends the one before."""
-    turn = itertools.count(1)
+    """Answer attach requests to a running bid; each reader ends the previous one."""
+    reader_ids = itertools.count(1)
     newest = 0
 
     async def read(req: DispatchReq) -> AsyncIterator[Any]:
         nonlocal newest
-        mine = newest = next(turn)
+        reader_id = newest = next(reader_ids)
         async for frame in answer_bid_late(fake, req):
-            if mine != newest:
+            if reader_id != newest:
                 return
             yield frame
 
     async def attach(req: AttachReq) -> AsyncIterator[Any]:
-        mine = [d for d in fake.dispatched if d.request_id == req.request_id]
-        async for frame in read(mine[0]) if mine else fake.refuse_attach(req):
+        dispatched = [d for d in fake.dispatched if d.request_id == req.request_id]
+        async for frame in (
+            read(dispatched[0]) if dispatched else fake.refuse_attach(req)
+        ):
             yield frame
 
     fake.script = lambda _, req: read(req)
--- a/tests/builders_files.py
+++ b/tests/builders_files.py
@@ -1,4 +1,4 @@
-"""Files in memory that stop at a chosen step and forget what was not synced."""
+"""In-memory files that simulate kills, power loss and disk errors."""
 
 import errno
 import socket
@@ -6,14 +6,15 @@
 
 
 class Killed(BaseException):
-    """The process ended here."""
+    """Simulates the kill of the process."""
 
 
 class FakeFiles:
-    """Counts its steps; ``kill_at`` ends the process before that step's effect.
+    """In-memory implementation of ``Files`` that counts its operations.
 
-    ``cut`` of the data of a killed append is still written.  After ``power_loss``
-    only what was synced is left, and ``torn`` bytes of what was not.
+    Operation number ``kill_at`` raises :class:`Killed` before it has an effect; if it
+    is an append, its first ``cut`` bytes are still written.  ``space`` is the number of
+    bytes left on the disk, ``fail`` the errno with which a sync fails.
     """
 
     def __init__(self, kill_at=None, cut=0):
@@ -24,7 +25,7 @@
         self.fail = None
         self.content = {}
         self.synced = {}
-        self.names = {}  # as synced by the folder: path -> inode
+        self.names = {}  # path -> inode, as of the last sync_folder
         self.inodes = {}
         self._next = 0
 
@@ -90,7 +91,7 @@
         pass
 
     def after_kill(self):
-        """What the next process finds after a kill: all that was written."""
+        """The files after the process was killed: everything written remains."""
         new = FakeFiles()
         new.inodes = dict(self.inodes)
         new.content = dict(self.content)
@@ -100,7 +101,7 @@
         return new
 
     def after_power_loss(self, torn=0):
-        """What is left without power: synced data, ``torn`` bytes of the rest."""
+        """The files after a power loss: synced data and ``torn`` bytes of the rest."""
         new = self.after_kill()
         new.inodes = dict(self.names)
         for inode, synced in self.synced.items():
@@ -117,7 +118,7 @@
 
 
 def free_address():
-    """A loopback address that was free a moment ago."""
+    """A loopback address whose port is currently free."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
--- a/tests/builders_replication.py
+++ b/tests/builders_replication.py
@@ -1,4 +1,4 @@
-"""Replicas in memory, with disks that forget what was not synced."""
+"""A cluster of Raft nodes in memory, with disks that lose unsynced writes."""
 
 import random
 from dataclasses import dataclass, field, replace
@@ -19,14 +19,14 @@
 
 
 def small_cfg(names):
-    """Settings under which logs are compacted every few entries."""
+    """Settings with which logs are compacted every few entries."""
     return RaftCfg(
         frozenset(names), snapshot_entries=6, keep_entries=2, batch_entries=3
     )
 
 
 def written(stored, write):
-    """What is on disk after one more write."""
+    """The content of the disk after one more write."""
     match write:
         case act.SaveState(state):
             return replace(stored, state=state)
@@ -43,7 +43,11 @@
 
 @dataclass
 class FakeReplica:
-    """A node with its disk; ``queue`` holds writes and sends until the sync."""
+    """A Raft node with its disk.
+
+    ``queue`` holds the writes and messages that wait for a sync, ``open`` the own
+    proposals that are not committed yet, by index.
+    """
 
     name: str
     rate: float
@@ -63,13 +67,16 @@
         """The newest membership on disk or in memory."""
         if self.node is not None:
             return self.node.membership
-        found = [self.stored.snapshot.membership]
-        found += [e.membership for e in self.stored.entries if e.membership]
-        return found[-1]
+        memberships = [self.stored.snapshot.membership]
+        memberships += [e.membership for e in self.stored.entries if e.membership]
+        return memberships[-1]
 
 
 class FakeCluster:
-    """Replicas, the messages between them and the faults; checks as it goes."""
+    """Replicas with the messages between them and injected faults.
+
+    Safety rules are checked at each step.
+    """
 
     def __init__(self, size, seed=0):
         self.rng = random.Random(seed)
@@ -99,7 +106,7 @@
     # Faults.
 
     def crash(self, replica, kept_writes=0):
-        """Stop; of the writes not synced only the first ones are kept."""
+        """Stop a replica; only the first ``kept_writes`` unsynced writes remain."""
         for item in replica.queue[:kept_writes]:
             if not isinstance(item, act.Send):
                 replica.stored = written(replica.stored, item)
@@ -116,15 +123,15 @@
         if stored.snapshot.index:
             self._restore(replica, stored.snapshot)
         for action in replica.node.begin():
-            self._carry_out(replica, action)
+            self._execute(replica, action)
 
     def may_wipe(self, replica):
-        """Whether a majority of disks stays, by every membership in use."""
+        """Whether every membership in use retains a majority without this disk."""
         lost = self.lost | {replica.identity}
         for other in self.replicas.values():
             members = other.membership.members if other is not replica else ()
-            gone = sum(member.identity in lost for member in members)
-            if members and gone > (len(members) - 1) // 2:
+            lost_members = sum(member.identity in lost for member in members)
+            if members and lost_members > (len(members) - 1) // 2:
                 return False
         return any(other.membership.members for other in self.others(replica))
 
@@ -137,7 +144,7 @@
         replica.identity = f"{replica.name}-{len(self.lost)}"
         replica.stored = Stored()
 
-    # The passing of time.
+    # Simulated time.
 
     def run(
         self,
@@ -149,10 +156,10 @@
         load=0.0,
         restarts=0.0,
     ):
-        """Let time pass.
+        """Run the cluster for this time.
 
-        ``sync``, ``load`` and ``restarts`` are the chances that in one step a
-        replica's disk syncs, its command comes, or it stops and starts again.
+        ``sync``, ``load`` and ``restarts`` are the probabilities that in one step a
+        replica syncs its disk, gets a proposal, or restarts.
         """
         for _ in range(int(seconds / STEP_S)):
             self.now += STEP_S
@@ -207,19 +214,19 @@
 
     def step(self, replica, event):
         for action in replica.node.step(event, self.clock(replica)):
-            self._carry_out(replica, action)
+            self._execute(replica, action)
         self._check_leader(replica)
         if isinstance(event, act.Tick):
             next_tick = replica.node.next_tick()
-            assert next_tick > self.clock(replica), "ticks without a pause"
+            assert next_tick > self.clock(replica), "next_tick() is not in the future"
 
-    def _carry_out(self, replica, action):
+    def _execute(self, replica, action):
         match action:
             case act.Send(name, envelope, after_sync):
                 if after_sync and replica.queue:
                     replica.queue.append(action)
                 else:
-                    self._post(name, envelope)
+                    self._transmit(name, envelope)
             case act.Apply(entries):
                 for entry in entries:
                     self._apply(replica, entry)
@@ -236,7 +243,7 @@
             case _:
                 replica.queue.append(action)
 
-    def _post(self, name, envelope):
+    def _transmit(self, name, envelope):
         if name in self.replicas:
             due = self.now + self.rng.random() * self._delay_s
             self.wire.append((due, name, envelope))
@@ -245,7 +252,7 @@
         queue, replica.queue = replica.queue, []
         for item in queue:
             if isinstance(item, act.Send):
-                self._post(item.name, item.envelope)
+                self._transmit(item.name, item.envelope)
             else:
                 replica.stored = written(replica.stored, item)
         stored = replica.stored
@@ -256,7 +263,7 @@
 
     def _apply(self, replica, entry):
         index, digest = replica.machine
-        assert entry.index == index + 1, "applied out of order"
+        assert entry.index == index + 1, "entry applied out of order"
         digest = hash((digest, entry.index, entry.term, entry.data))
         known = self.committed.setdefault(entry.index, (entry, digest))
         assert known == (entry, digest), "a committed entry changed"
@@ -269,7 +276,9 @@
     def _restore(self, replica, snapshot):
         index, digest = (int(part) for part in snapshot.data.split())
         assert index == snapshot.index
-        assert self.committed[index][1] == digest, "a snapshot differs"
+        assert (
+            self.committed[index][1] == digest
+        ), "a snapshot differs from the committed entries"
         replica.machine = (index, digest)
 
     def _check_leader(self, replica):
@@ -279,7 +288,7 @@
             assert known == replica.identity, f"two leaders in term {term}"
 
     def check_leases(self):
-        """Whoever may answer is alone and knows all that is committed."""
+        """At most one replica may answer, and it has all committed entries."""
         alive = [r for r in self.replicas.values() if r.node is not None]
         leading = [r for r in alive if r.node.may_lead(self.clock(r))]
         assert len(leading) <= 1, "two replicas may answer"
@@ -299,9 +308,9 @@
                 self.restart(replica)
 
     def full(self):
-        """Whether a leader reports each replica's present identity as repaired.
+        """Whether a leader reports each replica's current identity as repaired.
 
-        It can't know yet of an identity that was lost this moment.
+        It may not have noticed yet that an identity was lost just now.
         """
         leader = self.leader()
         if leader is None:
@@ -313,12 +322,12 @@
     def run_until(self, condition, seconds=60.0):
         deadline = self.now + seconds
         while not condition():
-            assert self.now < deadline, "the cluster is stuck"
+            assert self.now < deadline, f"condition not met within {seconds} s"
             self.run(STEP_S)
 
 
 def formed(size, seed=0):
-    """A cluster in which every replica is a member."""
+    """A cluster of which every replica has become a member."""
     cluster = FakeCluster(size, seed)
     cluster.run_until(cluster.full)
     return cluster
@@ -329,9 +338,9 @@
 
 
 class OpenCluster(FakeCluster):
-    """An open group: three seeds that start together, and replicas that join.
+    """An open group: seeds that start together, and other replicas that join.
 
-    Names are addresses, so whoever hears of a replica can reach it.
+    Names are addresses, so a replica can reach any other whose name it receives.
     """
 
     def __init__(self, size, seed=0, seeds=3):
@@ -348,13 +357,13 @@
             self.restart(replica)
 
     def voters(self):
-        """Names of the voters as the leader has them; empty without one."""
+        """Names of the voters in the leader's membership; empty without a leader."""
         leader = self.leader()
         members = leader.node.membership.members if leader else ()
         return {member.name for member in members}
 
     def commit(self):
-        """Propose to whoever leads; wait until every running replica has it."""
+        """Propose to the leader; wait until all running replicas have applied it."""
         self.run_until(lambda: self.leader() is not None)
         self.propose(self.leader())
         index = self.leader().node.last_index
--- a/tests/test_config_store.py
+++ b/tests/test_config_store.py
@@ -1,4 +1,4 @@
-"""The configuration in force at a process never falls and has one content."""
+"""The revision in force in a process never decreases and has a single content."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         (Config(revision=5), True, 5),
     ],
 )
-def test_only_a_newer_configuration_is_taken(offered, taken, in_force):
+def test_only_a_newer_configuration_is_accepted(offered, taken, in_force):
     store = ConfigStore()
     assert store.offer(FOURTH)
     assert store.offer(offered) is taken
@@ -28,7 +28,7 @@
     assert store.config == (offered if taken else FOURTH)
 
 
-def test_another_content_under_the_same_revision_breaks_the_invariant():
+def test_different_content_with_the_same_revision_raises():
     store = ConfigStore()
     store.offer(FOURTH)
     with pytest.raises(InvariantError, match="two configurations"):
--- a/tests/test_control_machine.py
+++ b/tests/test_control_machine.py
@@ -1,8 +1,8 @@
-"""Random operators, entries and restarts against the control state and a model.
+"""Random requests and restarts, checked against a model of the control state.
 
-Two replicas apply the same entries; one of them is replaced by a restored snapshot
-at any moment.  The model knows only the promises: which change ids were answered
-how, and which attempt of which call may run.
+Two replicas apply the same entries; one of them may be replaced by a restored snapshot
+at any time.  The model records the reply to each change id and which attempt of each
+call may run.  It guards against replicas that diverge and calls that could run twice.
 """
 
 from __future__ import annotations
@@ -103,7 +103,7 @@
     @rule(key=KEYS, body=BODIES, by=HOLDERS)
     def claim(self, key: str, body: bytes, by: Holder) -> None:
         reply = self.commit(ClaimReq("fraser", key, body, by))
-        self.note_grant(key, by, reply, body)
+        self.check_grant(key, by, reply, body)
 
     @rule(key=KEYS, old=HOLDERS, new=HOLDERS, tombstone=st.booleans())
     def move(self, key: str, old: Holder, new: Holder, tombstone: bool) -> None:
@@ -111,7 +111,7 @@
         running = self.running(key)
         if reply.granted and running == old and tombstone:
             del self.may_run[key]
-        self.note_grant(key, new, reply)
+        self.check_grant(key, new, reply)
 
     @rule(key=KEYS, by=HOLDERS, tombstone=st.booleans())
     def release(self, key: str, by: Holder, tombstone: bool) -> None:
@@ -159,11 +159,11 @@
         self.right = restored
 
     def running(self, key: str) -> Holder | None:
-        """The attempt that may run under ``key``, by the model."""
+        """The attempt that may run under ``key`` according to the model."""
         held, until_s = self.may_run.get(key, (None, 0.0))
         return held if until_s > self.left.now_s else None
 
-    def note_grant(
+    def check_grant(
         self, key: str, by: Holder, reply: ClaimReply, body: bytes | None = None
     ) -> None:
         ended = self.ended.get(key)
@@ -177,7 +177,7 @@
         self.may_run[key] = (by, reply.record.expires_s)
 
     @invariant()
-    def replicas_are_equal(self) -> None:
+    def replicas_have_equal_snapshots(self) -> None:
         assert self.left.snapshot() == self.right.snapshot()
 
     @invariant()
@@ -185,7 +185,7 @@
         assert self.left.config.revision == self.made
 
     @invariant()
-    def table_and_model_agree(self) -> None:
+    def claims_match_the_model(self) -> None:
         records = {r.key: r for r in self.left.claims.records}
         running = {
             key: record.holder
@@ -197,7 +197,7 @@
         assert len(records) <= LIMITS.claims
 
     @invariant()
-    def orders_keep_their_bounds(self) -> None:
+    def order_limits_hold(self) -> None:
         issued = self.left.orders.issued()
         loads = [o for o in issued if o.kind is OrderKind.LOAD_WEIGHTS]
         assert len(loads) <= LIMITS.loads_at_once
--- a/tests/test_control_state.py
+++ b/tests/test_control_state.py
@@ -1,4 +1,4 @@
-"""The control state: each promise as a row of requests and expected outcomes."""
+"""Control state: changes, orders and claims, as tables of requests and replies."""
 
 from __future__ import annotations
 
@@ -81,7 +81,7 @@
 @pytest.mark.parametrize(
     "req", [FIRST, change(base=7), change(apply_profile(model="")), order(), order("")]
 )
-def test_resend_gets_the_first_answer_also_from_a_restored_state(req):
+def test_resent_request_gets_its_first_reply_also_after_restore(req):
     state = ControlState()
     (first,) = run(state, req)
     run(state, change(apply_profile("x"), change_id="c9", base=state.config.revision))
@@ -92,14 +92,14 @@
     assert restored.snapshot() == state.snapshot()
 
 
-def test_every_fault_is_named_at_once():
+def test_one_reply_names_all_faults():
     bad = change(apply_profile(pool="", deadline_s=-1), apply_workspace(share=0))
     (reply,) = run(ControlState(), bad)
     for named in ("pool", "deadline_s", "share"):
         assert named in reply.problem.message
 
 
-def test_audit_trail_names_each_attempt_and_is_bounded():
+def test_audit_trail_records_each_attempt_and_is_bounded():
     state = ControlState(limits=Limits(audit_entries=4, change_ids=2))
     run(state, FIRST, wall_s=5)
     run(state, change(apply_profile(priority=3), change_id="c2", base=1), wall_s=6)
@@ -114,7 +114,7 @@
     assert len(state.replies.items) == 2
 
 
-def test_leaving_marks():
+def test_upstreams_are_marked_and_unmarked_as_leaving():
     state = ControlState()
     run(state, change(Edit(EditKind.MARK_LEAVING, "e1")))
     assert state.config.leaving == {"e1"}
@@ -130,7 +130,7 @@
         ([LOADS, LOADS, LOADS, ROLE, ROLE], "abccd", [1, 2, 5]),
     ],
 )
-def test_loads_at_once_and_one_order_at_a_time_for_an_upstream(
+def test_issued_orders_are_limited_per_upstream_and_loads_overall(
     kinds, upstreams, issued
 ):
     state = ControlState()
@@ -139,7 +139,7 @@
     assert [o.order_id for o in state.orders.issued()] == issued
 
 
-def test_order_ends_by_report_or_deadline_and_numbers_rise():
+def test_order_closes_by_report_or_deadline_and_numbers_increase():
     state = ControlState(limits=Limits(loads_at_once=1, order_deadline_s=10))
     run(state, order("a", "o1"), order("b", "o2"), order("a", "o3"))
     (ack,) = run(state, ReportOrderReq(1, "a", True))
@@ -165,7 +165,7 @@
     assert {o.order_id: o.state for o in state.orders.orders}[2] is OrderState.LOST
 
 
-def test_orders_are_bounded_and_open_ones_are_never_dropped():
+def test_order_table_is_bounded_and_drops_only_closed_orders():
     state = ControlState(limits=Limits(orders=2))
     run(state, order("a", "o1"), order("b", "o2"))
     (full,) = run(state, order("c", "o3"))
@@ -229,7 +229,9 @@
         ([claim(), finish(), release()], False, "claim_moved", ClaimState.FINISHED),
     ],
 )
-def test_claims(requests, granted, code, state):
+def test_claim_is_granted_to_one_attempt_and_finishes_once(
+    requests, granted, code, state
+):
     reply = run(ControlState(), *requests)[-1]
     assert reply.granted is granted
     assert (reply.problem and reply.problem.code) == code
@@ -238,7 +240,7 @@
         assert (reply.record.status, reply.record.body) == (200, b"sold")
 
 
-def test_claims_expire_by_committed_time_alone():
+def test_claims_expire_by_committed_time_only():
     state = ControlState(limits=Limits(claim_ttl_s=10))
     run(state, claim(), wall_s=100)
     (kept,) = run(state, claim(by=OTHER), wall_s=109)
@@ -249,7 +251,7 @@
     assert late.record.expires_s == 120
 
 
-def test_full_table_refuses_and_forgets_nothing():
+def test_full_claim_table_refuses_new_claims_and_drops_none():
     state = ControlState(limits=Limits(claims=2, claim_ttl_s=60))
     replies = run(state, claim("k1"), claim("k2"), claim("k3"), claim("k1", by=OTHER))
     assert [reply.granted for reply in replies] == [True, True, False, False]
@@ -258,7 +260,7 @@
     assert replies[3].record.holder == holder()
 
 
-def test_one_workspace_cannot_fill_the_table():
+def test_one_workspace_cannot_fill_the_claim_table():
     state = ControlState(limits=Limits(claims=9, claims_per_workspace=1))
     other = replace(claim("k2"), workspace="clay")
     replies = run(state, claim("k1"), claim("k2"), other)
@@ -268,20 +270,20 @@
 @pytest.mark.parametrize(
     "limits", [Limits(claim_body_bytes=3), Limits(claim_total_bytes=3)]
 )
-def test_large_answer_is_known_but_not_kept(limits):
+def test_too_large_answer_is_recorded_without_its_body(limits):
     _, reply = run(ControlState(limits=limits), claim(), finish())
     assert (reply.record.status, reply.record.body) == (200, b"")
     assert not reply.record.answer_kept
 
 
-def test_limits_change_through_the_log():
+def test_limits_are_changed_by_a_log_entry():
     state = ControlState()
     run(state, order("a", "o1"), order("b", "o2"), order("c", "o3"))
     run(state, SetLimitsReq(Limits(loads_at_once=3)))
     assert len(state.orders.issued()) == 3
 
 
-def test_unreadable_or_repeated_entry_stops_the_replica():
+def test_undecodable_or_repeated_entry_raises():
     state = ControlState()
     run(state, FIRST)
     for index, data in ((1, command(FIRST)), (2, b"\xff"), (2, command(b"not a req"))):
@@ -290,7 +292,7 @@
     assert state.config.profiles == {"summary": profile()}
 
 
-def test_state_never_goes_back():
+def test_state_never_returns_to_an_earlier_one():
     state, older = ControlState(), ControlState()
     run(state, TickReq())
     with pytest.raises(InvariantError):
@@ -306,7 +308,7 @@
             check_successor(ended.record, changed)
 
 
-def test_numbers_of_a_lost_part_of_the_log_never_come_again():
+def test_numbers_of_lost_log_entries_are_not_reused_after_recovery():
     state, recovered = ControlState(), ControlState()
     run(state, FIRST, order("a", "o1"), cluster="before")
     recovered.restore(state.snapshot())
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -1,4 +1,4 @@
-"""Routes of a document, its checks, and the state that keeps documents."""
+"""Route lookup, checks of documents, and how the control state stores documents."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 @pytest.mark.parametrize("path", LOOKUPS)
-def test_the_longest_prefix_that_begins_the_path_is_found(path: str) -> None:
+def test_route_with_the_longest_matching_prefix_is_found(path: str) -> None:
     table = RouteTable(
         declared(*(route(name=p, host="h", path_prefix=p) for p in PREFIXES))
     )
@@ -45,13 +45,13 @@
     assert table.route("other", path) is None
 
 
-def test_a_look_up_takes_as_many_steps_as_the_deepest_prefix() -> None:
+def test_lookup_of_a_very_deep_path_finds_or_rejects_it() -> None:
     table = RouteTable(declared(route(host="h", path_prefix="/a/b/")))
     assert table.route("h", "/a/b" + "/" * 10_000) is not None
     assert table.route("h", "/" * 10_000) is None
 
 
-def test_keys_name_their_workspace() -> None:
+def test_key_selects_its_workspace() -> None:
     holders = (KeyHolder("a", ("k1", "k2")), KeyHolder("b", ("k3",)))
     table = RouteTable(declared(workspaces=holders))
     assert [table.workspace(k) for k in ("k1", "k2", "k3", "k4", None)] == [
@@ -66,7 +66,7 @@
 
 
 def shares(*weights: float) -> tuple[Share, ...]:
-    """Shares of one pool with these weights."""
+    """Shares of the same pool with the given weights."""
     return tuple(Share(POOL, weight) for weight in weights)
 
 
@@ -87,38 +87,38 @@
 
 
 @pytest.mark.parametrize("case", FAULTS)
-def test_each_fault_is_named(case: str) -> None:
+def test_each_fault_of_a_document_is_reported(case: str) -> None:
     document, text = FAULTS[case]
     [fault] = [fault for fault in declared_faults(document) if text in fault]
     assert fault
 
 
-def test_a_sound_document_has_no_fault() -> None:
+def test_valid_document_has_no_faults() -> None:
     routes: tuple[Route, ...] = (route(), route(name="b", path_prefix="/b/"))
     assert list(declared_faults(declared(*routes))) == []
 
 
-class Log:
-    """Commits requests one by one."""
+class CommittingControl:
+    """Applies requests to a control state, one log entry each."""
 
     def __init__(self) -> None:
         self.state = ControlState()
         self.index = 0
 
-    def ask(self, req: object) -> object:
+    def commit(self, req: object) -> object:
         self.index += 1
         command = encode(Command(1.0, (encode(req),)))
         reply: CommandReply = decode(self.state.apply(self.index, command))
         return decode(reply.replies[0])
 
     def held(self) -> tuple[int, bytes] | None:
-        document = self.ask(ReadDocumentReq()).document  # type: ignore[attr-defined]
+        document = self.commit(ReadDocumentReq()).document  # type: ignore[attr-defined]
         return None if document is None else (document.number, document.body)
 
 
-def test_the_highest_document_is_in_force_and_all_are_acknowledged() -> None:
-    log = Log()
-    assert log.held() is None
+def test_document_with_the_highest_number_is_in_force_and_all_get_a_reply() -> None:
+    control = CommittingControl()
+    assert control.held() is None
     for number, body, held in [
         (5, b"five", (5, b"five")),
         (5, b"five", (5, b"five")),
@@ -127,18 +127,18 @@
         (9, b"nine", (9, b"nine")),
         (5, b"five", (9, b"nine")),
     ]:
-        reply = log.ask(DeclareReq(Document(number, body)))
+        reply = control.commit(DeclareReq(Document(number, body)))
         assert reply.problem is None  # type: ignore[attr-defined]
-        assert log.held() == held
-    assert log.state.config.revision == 2
+        assert control.held() == held
+    assert control.state.config.revision == 2
 
 
-def test_named_weights_only_rise_and_survive_a_snapshot() -> None:
-    log = Log()
+def test_named_weights_versions_only_increase_and_are_in_the_snapshot() -> None:
+    control = CommittingControl()
     for model, version in [("m", 2), ("m", 1), ("n", 1), ("m", 4), ("m", 3)]:
-        log.ask(NameWeightsReq(model, version))
-    log.ask(DeclareReq(Document(1, b"one")))
-    assert log.state.config.weights == {"m": 4, "n": 1}
+        control.commit(NameWeightsReq(model, version))
+    control.commit(DeclareReq(Document(1, b"one")))
+    assert control.state.config.weights == {"m": 4, "n": 1}
     restored = ControlState()
-    restored.restore(log.state.snapshot())
-    assert restored.config == log.state.config
+    restored.restore(control.state.snapshot())
+    assert restored.config == control.state.config
--- a/tests/test_directory_machine.py
+++ b/tests/test_directory_machine.py
@@ -1,9 +1,9 @@
-"""Directories that gossip over bad links, driven at random on a clock of its own.
+"""Directories that gossip over unreliable links, driven at random in simulated time.
 
-Messages are delayed, repeated, reordered and lost; sidecars and receivers restart;
-every process has a clock that starts elsewhere.  Checked after each step, at every
-receiver: no name falls back to an older announcement, and no announcement is seen
-after the lease that began when its sidecar made it.
+Messages are delayed, repeated, reordered and lost; sidecars and receivers restart; each
+process has a clock with another offset.  After each step, at every process: no name
+returns to an older announcement, and no announcement is visible after the end of the
+lease that started when its sidecar made it.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(eq=False)
 class Node:
-    """One incarnation of a process: what it knows, and how far its clock is off."""
+    """One incarnation of a process: its directory and the offset of its clock."""
 
     index: int
     offset: float
@@ -39,18 +39,18 @@
 
 @dataclass(eq=False)
 class End:
-    """One end of a connection, at ``node``: what it heard of the other clock."""
+    """One end of a connection, at ``node``, with its estimate of the peer's clock."""
 
     node: Node
     transit: TransitBound = field(default_factory=TransitBound)
     sent_version: int = 0
     peer_sent_at: float | None = None
-    peer_heard_at: float = 0.0
+    peer_received_at: float = 0.0
 
 
 @dataclass(frozen=True)
 class Message:
-    """Records under way from one end of a connection to the other."""
+    """Records in transit from one end of a connection to the other."""
 
     receiver: End
     sent_at: float
@@ -59,13 +59,13 @@
 
 
 class GossipMachine(RuleBasedStateMachine):
-    """Processes, connections between them, and the messages under way."""
+    """Processes, the connections between them, and the messages in transit."""
 
     def __init__(self) -> None:
         super().__init__()
         self.rng = random.Random(7)
         self.now = 100.0
-        self.under_way: list[Message] = []
+        self.in_transit: list[Message] = []
         self.made_at: dict[tuple[str, int], float] = {}
         self.ends: dict[tuple[int, int], End] = {}
         self.nodes = [self.new_node(index) for index in range(NODES)]
@@ -80,44 +80,44 @@
         return self.now + node.offset
 
     def connect(self, first: int, second: int, delay: float = 0.0) -> None:
-        """Replace the connection of two processes; a handshake tells the clocks."""
+        """Replace the connection of two processes; the handshake exchanges clocks."""
         pairs = [(first, second), (second, first)]
         for pair in pairs:
             self.ends[pair] = End(self.nodes[pair[0]])
         for pair in [*pairs, pairs[0]]:
-            hello = self.make(*pair, records=())
+            hello = self.make_message(*pair, records=())
             self.now += delay
-            self.take(hello)
+            self.receive(hello)
 
-    def make(
+    def make_message(
         self, sender: int, receiver: int, records: tuple[UpstreamRecord, ...]
     ) -> Message:
         end = self.ends[sender, receiver]
         now = self.clock(end.node)
         echo_at = None
         if end.peer_sent_at is not None:
-            echo_at = end.peer_sent_at + now - end.peer_heard_at
+            echo_at = end.peer_sent_at + now - end.peer_received_at
         return Message(self.ends[receiver, sender], now, echo_at, records)
 
-    def post(self, sender: int, receiver: int) -> None:
-        """Send all that the other end lacks."""
+    def send_changes(self, sender: int, receiver: int) -> None:
+        """Send the records that changed since the last message on this connection."""
         end = self.ends[sender, receiver]
         now = self.clock(end.node)
         delta = end.node.directory.since(end.sent_version, now, exclude=end)
         end.sent_version = delta.version
-        self.under_way.append(self.make(sender, receiver, delta.records))
+        self.in_transit.append(self.make_message(sender, receiver, delta.records))
 
-    def take(self, msg: Message) -> None:
-        """Let the receiver handle a message; one that died drops it."""
+    def receive(self, msg: Message) -> None:
+        """Deliver a message to its receiver, unless that process has restarted."""
         end = msg.receiver
         if self.nodes[end.node.index] is not end.node:
             return
         now = self.clock(end.node)
         end.transit.heard(msg.sent_at, msg.echo_at, now)
-        end.peer_sent_at, end.peer_heard_at = msg.sent_at, now
+        end.peer_sent_at, end.peer_received_at = msg.sent_at, now
         age_s = end.transit.age_s(msg.sent_at, now)
-        for one in msg.records:
-            end.node.directory.offer(one, now, age_s=age_s, source=end)
+        for received in msg.records:
+            end.node.directory.offer(received, now, age_s=age_s, source=end)
 
     @rule(seconds=st.sampled_from([0.01, 0.5, 2.0, LEASE_S / 2, LEASE_S, 3 * LEASE_S]))
     def pass_time(self, seconds: float) -> None:
@@ -141,21 +141,21 @@
             return
         if new or pair not in self.ends:
             self.connect(*pair, delay=handshake)
-        self.post(*pair)
+        self.send_changes(*pair)
 
     @rule(at=st.integers(0, 30), keep=st.sampled_from([False, False, True]))
     def deliver(self, at: int, keep: bool) -> None:
-        """Any message may come next; a kept one comes again later."""
-        if not self.under_way:
+        """Deliver any message in transit; with ``keep`` it is delivered again later."""
+        if not self.in_transit:
             return
-        index = at % len(self.under_way)
-        msg = self.under_way[index] if keep else self.under_way.pop(index)
-        self.take(msg)
+        index = at % len(self.in_transit)
+        msg = self.in_transit[index] if keep else self.in_transit.pop(index)
+        self.receive(msg)
 
     @rule(at=st.integers(0, 30))
     def lose(self, at: int) -> None:
-        if self.under_way:
-            self.under_way.pop(at % len(self.under_way))
+        if self.in_transit:
+            self.in_transit.pop(at % len(self.in_transit))
 
     @rule(index=st.integers(0, NODES - 1))
     def restart(self, index: int) -> None:
@@ -169,7 +169,7 @@
 
     @rule()
     def settle(self) -> None:
-        """With a round of working links all receivers know all live sidecars."""
+        """After a round over working links, all processes list all sidecars."""
         self.now += 0.001
         for index in range(SIDECARS):
             self.announce(index)
@@ -177,27 +177,29 @@
             self.connect(index, (index + 1) % NODES)
         for _ in range(2 * NODES):
             for pair in [p for p in self.ends if (p[1] - p[0]) % NODES in (1, 4)]:
-                self.post(*pair)
-                self.take(self.under_way.pop())
+                self.send_changes(*pair)
+                self.receive(self.in_transit.pop())
         for node in self.nodes:
             ready = node.directory.ready("p", self.clock(node))
             incarnations = [self.nodes[index].incarnation for index in range(SIDECARS)]
-            assert [one.incarnation for one in ready] == incarnations
+            assert [announced.incarnation for announced in ready] == incarnations
 
     @invariant()
-    def nothing_outincarnations_its_lease_or_falls_back(self) -> None:
+    def no_record_outlives_its_lease_or_goes_back(self) -> None:
         for node in self.nodes:
             now = self.clock(node)
             shown = node.directory.records(now) + node.directory.ready("p", now)
-            for one in shown:
-                age_s = self.now - self.made_at[one.incarnation, one.seq]
-                assert age_s < LEASE_S, f"{one} is shown {age_s} s after it was made"
-            for one in node.directory.records(now):
-                age_s = self.now - self.made_at[one.incarnation, one.seq]
-                assert one.lease_s <= LEASE_S - age_s + EPSILON_S
-                newest = (one.incarnation, one.seq)
-                assert newest >= node.seen.get(one.name, newest)
-                node.seen[one.name] = newest
+            for visible in shown:
+                age_s = self.now - self.made_at[visible.incarnation, visible.seq]
+                assert (
+                    age_s < LEASE_S
+                ), f"{visible} is visible {age_s} s after it was made"
+            for listed in node.directory.records(now):
+                age_s = self.now - self.made_at[listed.incarnation, listed.seq]
+                assert listed.lease_s <= LEASE_S - age_s + EPSILON_S
+                newest = (listed.incarnation, listed.seq)
+                assert newest >= node.seen.get(listed.name, newest)
+                node.seen[listed.name] = newest
 
 
 GossipMachine.TestCase.settings = settings(
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -1,4 +1,7 @@
-"""Orders: an older number never passes, and none before the number is learned."""
+"""Orders at a sidecar: outdated fencing numbers are refused.
+
+No order is sent to the upstream before the current number was read from control.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +50,7 @@
 
 
 class Bench:
-    """A keeper of orders before a tiny upstream."""
+    """An ``OrderKeeper`` in front of a tiny upstream."""
 
     def __init__(self, upstream: TinyUpstream, control: Control) -> None:
         self.upstream = upstream
@@ -70,75 +73,75 @@
             await send_body(writer, b"{}", status)
 
     async with tiny_upstream(answer) as upstream:
-        made = Bench(upstream, Control(number))
-        yield made
-        await made.keeper.close()
+        setup = Bench(upstream, Control(number))
+        yield setup
+        await setup.keeper.close()
 
 
-def test_an_order_is_carried_out_once_however_often_it_comes() -> None:
+def test_repeated_order_is_executed_once() -> None:
     async def main() -> None:
-        async with bench(5) as made:
-            replies = [await made.keeper.handle(ORDER) for _ in range(3)]
+        async with bench(5) as setup:
+            replies = [await setup.keeper.handle(ORDER) for _ in range(3)]
             assert all(reply.finished and not reply.problem for reply in replies)
-            assert len(made.upstream.requests) == 1
-            assert b'"number":5' in made.upstream.requests[0].body
-            assert made.settled == 1
+            assert len(setup.upstream.requests) == 1
+            assert b'"number":5' in setup.upstream.requests[0].body
+            assert setup.settled == 1
 
     run(main())
 
 
-def test_nothing_passes_before_the_number_is_learned() -> None:
+def test_no_order_is_sent_before_the_fencing_number_is_known() -> None:
     async def main() -> None:
-        async with bench(None) as made:
-            assert not (await made.keeper.handle(ORDER)).finished
-            assert made.upstream.requests == []
-            made.control.number = 6
-            reply = await made.keeper.handle(ORDER)
+        async with bench(None) as setup:
+            assert not (await setup.keeper.handle(ORDER)).finished
+            assert setup.upstream.requests == []
+            setup.control.number = 6
+            reply = await setup.keeper.handle(ORDER)
             assert reply.problem is not None
             assert reply.problem.code == "stale_fencing_number"
-            assert made.upstream.requests == []
+            assert setup.upstream.requests == []
 
     run(main())
 
 
-def test_an_older_number_or_another_order_under_the_same_one_is_refused() -> None:
+def test_older_number_and_different_order_with_the_same_number_are_refused() -> None:
     async def main() -> None:
-        async with bench(0) as made:
-            await made.keeper.handle(ORDER)
+        async with bench(0) as setup:
+            await setup.keeper.handle(ORDER)
             older = replace(ORDER, number=4)
             other = replace(ORDER, version="v3")
             strange = replace(ORDER, upstream="upstream-2")
             codes = []
             for order in (older, other, strange):
-                reply = await made.keeper.handle(order)
+                reply = await setup.keeper.handle(order)
                 codes.append(reply.problem.code if reply.problem else "")
             assert codes == ["stale_fencing_number", "change_id_reused", "unknown_name"]
-            assert len(made.upstream.requests) == 1
+            assert len(setup.upstream.requests) == 1
 
     run(main())
 
 
-def test_a_refusal_of_the_upstream_is_passed_on() -> None:
+def test_refusal_by_the_upstream_is_returned() -> None:
     async def main() -> None:
-        async with bench(0, "409 Conflict") as made:
-            reply = await made.keeper.handle(ORDER)
+        async with bench(0, "409 Conflict") as setup:
+            reply = await setup.keeper.handle(ORDER)
             assert reply.finished and reply.problem is not None
             assert reply.problem.code == "order_refused"
 
     run(main())
 
 
-def test_a_newer_order_waits_for_one_that_was_lost_on_the_way() -> None:
+def test_newer_order_waits_for_one_whose_answer_was_lost() -> None:
     async def main() -> None:
-        async with bench(0, "drop") as made:
-            assert not (await made.keeper.handle(ORDER)).finished
-            assert not (await made.keeper.handle(replace(ORDER, number=6))).finished
-            assert len(made.upstream.requests) == 1
+        async with bench(0, "drop") as setup:
+            assert not (await setup.keeper.handle(ORDER)).finished
+            assert not (await setup.keeper.handle(replace(ORDER, number=6))).finished
+            assert len(setup.upstream.requests) == 1
 
     run(main())
 
 
-def test_work_waits_while_an_order_runs() -> None:
+def test_new_work_waits_while_an_order_runs() -> None:
     go = asyncio.Event()
 
     async def answer(_req: Request, writer: Writer) -> None:
@@ -147,30 +150,30 @@
 
     async def main() -> None:
         async with tiny_upstream(answer) as upstream:
-            made = Bench(upstream, Control(0))
-            assert not (await made.keeper.handle(ORDER)).finished
-            waiting = asyncio.create_task(made.keeper.idle())
+            setup = Bench(upstream, Control(0))
+            assert not (await setup.keeper.handle(ORDER)).finished
+            waiting = asyncio.create_task(setup.keeper.idle())
             await asyncio.sleep(0)
             assert not waiting.done()
             go.set()
             await waiting
-            assert made.settled == 1
-            assert (await made.keeper.handle(ORDER)).finished
+            assert setup.settled == 1
+            assert (await setup.keeper.handle(ORDER)).finished
 
     run(main())
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 6)), max_size=20))
-def test_numbers_given_never_fall(steps: list[tuple[bool, int]]) -> None:
+def test_numbers_of_sent_orders_never_decrease(steps: list[tuple[bool, int]]) -> None:
     fence = Fence()
-    floor = -1
+    highest = -1
     for learns, number in steps:
         if learns:
             fence.learn(number)
-            floor = max(floor, number)
+            highest = max(highest, number)
             continue
-        passage = fence.take(replace(ORDER, number=number))
-        if passage == Ok(Passage.GIVE):
-            assert floor >= 0, "given before the number was learned"
-            assert number >= floor
-            floor = number
+        decision = fence.take(replace(ORDER, number=number))
+        if decision == Ok(Passage.GIVE):
+            assert highest >= 0, "sent before the fencing number was known"
+            assert number >= highest
+            highest = number
--- a/tests/test_raft_machine.py
+++ b/tests/test_raft_machine.py
@@ -1,8 +1,8 @@
-"""Long random runs of three and five replicas under every fault at once.
+"""Long random runs of three and five replicas with all kinds of faults combined.
 
-The checks live in ``FakeCluster`` and in the program (InvariantError): one leader a
-term, committed entries never change, applied prefixes are equal, and whoever may
-answer is alone and knows everything committed.
+``FakeCluster`` and the InvariantErrors of the code check that each term has one leader,
+committed entries never change, applied prefixes are equal, and at most one replica may
+answer, which has everything committed.
 """
 
 import os
@@ -26,7 +26,7 @@
 
 
 class _Runs(RuleBasedStateMachine):
-    """Rules are faults and stretches of time; sizes are set below."""
+    """The rules inject faults or let time pass; subclasses set the cluster size."""
 
     size = 3
 
@@ -94,7 +94,7 @@
 
     @rule(kept=st.integers(0, 2))
     def followers_lose_power(self, kept):
-        """They forget what is not synced and must go on without the leader."""
+        """Followers lose unsynced data and must continue without the leader."""
         leader = self.cluster.leader()
         if leader is not None:
             self.isolate(leader.name)
@@ -152,33 +152,33 @@
 
     @rule(seed=st.integers(0, 2**32))
     def many_faults(self, seed):
-        """A long schedule in one rule, deeper than generated rules go."""
+        """A schedule of random faults that is longer than the generated runs."""
         random_faults(self, random.Random(seed), 25)
 
     def teardown(self):
-        """Once faults end, the cluster repairs itself and commits again."""
+        """After all faults end, the cluster must repair itself and commit again."""
         cluster = self.cluster
         cluster.heal()
         cluster.run_until(cluster.full)
         before = len(cluster.answered)
-        cluster.run_until(lambda: self._sends_again(before))
-        cluster.run_until(self._is_everywhere)
+        cluster.run_until(lambda: self._proposal_succeeds(before))
+        cluster.run_until(self._all_replicas_agree)
 
-    def _sends_again(self, before):
-        """A caller sends again when the leader changed before its answer."""
+    def _proposal_succeeds(self, before):
+        """Propose again, as a caller does if the leader changed before its reply."""
         leader = self.cluster.leader()
         if leader is not None:
             self.cluster.propose(leader)
         return len(self.cluster.answered) > before
 
-    def _is_everywhere(self):
+    def _all_replicas_agree(self):
         newest = max(self.cluster.committed)
         same = (newest, self.cluster.committed[newest][1])
         return all(r.machine == same for r in self.cluster.replicas.values())
 
 
 def random_faults(runs, rng, count):
-    """Call ``count`` rules with random arguments, with time between them."""
+    """Apply ``count`` random faults with a storm after each."""
 
     def anyone():
         return rng.choice(NAMES)
--- a/tests/test_raft_rules.py
+++ b/tests/test_raft_rules.py
@@ -1,4 +1,4 @@
-"""Single rules of the log that random runs rarely need."""
+"""Rules of the Raft node that random runs rarely exercise."""
 
 import random
 
@@ -29,7 +29,7 @@
 
 
 def stored(members, *terms):
-    """A log of the membership in term 1, and an entry for each further term."""
+    """A log with ``members`` in term 1 and one more entry for each of ``terms``."""
     entries = [Entry(1, 1, EntryKind.MEMBERS, b"", members)]
     entries += [Entry(index, term) for index, term in enumerate(terms, start=2)]
     return Stored(HardState("x", entries[-1].term), entries=tuple(entries))
@@ -40,14 +40,14 @@
 
 
 def receive(node, source, body, now):
-    """Step the node; return the bodies that it sends."""
+    """Deliver a message; return the node's actions and the messages that it sends."""
     envelope = Envelope("x", source, ME.identity, body)
     actions = node.step(act.Received(envelope), now)
     return actions, [a.envelope.body for a in actions if isinstance(a, act.Send)]
 
 
 def elect(node, now):
-    """Give the node the second replica's votes."""
+    """Make the node leader with the second replica's pre-vote and vote."""
     node.step(act.Tick(), now)
     term = node.state.term + 1
     receive(node, SECOND, VoteReply(term, True, pre=True), now)
@@ -72,13 +72,13 @@
 
 
 @pytest.mark.parametrize("after_s, granted", [(0.9, False), (1.1, True)])
-def test_restarted_replica_may_have_promised(after_s, granted):
+def test_restarted_replica_refuses_votes_as_if_it_had_promised(after_s, granted):
     node = node_with(stored(membership(*NAMES)))
     _, (reply,) = receive(node, THIRD, VoteReq(2, 9, 9, False), START + after_s)
     assert reply.granted is granted
 
 
-def test_entry_of_an_earlier_term_is_not_committed_by_counting():
+def test_entry_of_an_earlier_term_is_not_committed_by_counting_replicas():
     node = node_with(stored(membership(*NAMES), 2))
     term = elect(node, START + 3)
     receive(node, SECOND, AppendReply(term, True, 2, START + 3), START + 3)
@@ -88,7 +88,7 @@
     assert node.commit == 3
 
 
-def test_lease_counts_from_the_sending_of_the_heartbeat():
+def test_lease_starts_when_the_answered_message_was_sent():
     node = node_with(stored(membership(*NAMES)))
     term = elect(node, START + 3)
     node.step(act.Synced(2, term), START + 3)
@@ -97,14 +97,14 @@
     assert not node.may_lead(START + 3.81)
 
 
-def test_replica_that_is_no_member_never_votes():
+def test_replica_that_is_not_a_member_never_votes():
     node = node_with(stored(Membership((SECOND, THIRD))))
     actions, _ = receive(node, THIRD, VoteReq(2, 9, 9, False), START + 5)
     assert not actions
 
 
-def repairing():
-    """A leader of two, whose third replica has a new identity and asks to join."""
+def leader_with_joining_replica():
+    """A leader of two members and a replica with a new identity that asks to join."""
     node = node_with(stored(membership("c1", "c2")))
     now = START + 3
     term = elect(node, now)
@@ -119,7 +119,7 @@
 
 
 def test_new_identity_joins_only_once_it_has_caught_up():
-    node, term, now = repairing()
+    node, term, now = leader_with_joining_replica()
     receive(node, NEW, AppendReply(term, True, 1, now), now)
     node.step(act.Tick(), now)
     assert not node.membership.has(NEW.identity)
@@ -128,8 +128,8 @@
     assert node.membership.has(NEW.identity)
 
 
-def test_repair_is_done_once_the_new_member_knows_of_it():
-    node, term, now = repairing()
+def test_repair_is_done_once_the_new_member_has_its_membership_entry():
+    node, term, now = leader_with_joining_replica()
     receive(node, NEW, AppendReply(term, True, 2, now), now)
     node.step(act.Tick(), now)
     node.step(act.Synced(3, term), now)
@@ -140,7 +140,7 @@
     assert state_of(node, "c3", now) == "done"
 
 
-def test_replaced_entry_counts_only_after_its_own_sync():
+def test_replacing_entry_counts_only_after_its_own_sync():
     node = node_with(stored(membership(*NAMES), 1, 1, 1))
     receive(node, SECOND, heartbeat(2, [Entry(2, 2)]), START)
     term = elect(node, START + 3)
@@ -150,8 +150,8 @@
     assert node.commit == 3
 
 
-def test_snapshot_keeps_the_membership_of_its_index():
-    node, term, now = repairing()
+def test_snapshot_contains_the_membership_at_its_index():
+    node, term, now = leader_with_joining_replica()
     receive(node, NEW, AppendReply(term, True, 2, now), now)
     node.step(act.Tick(), now)
     actions = node.step(act.SnapshotTaken(2, b""), now)
@@ -168,7 +168,7 @@
     assert node.state.term == 1
 
 
-def test_member_that_was_replaced_unknowingly_asks_to_join():
+def test_member_without_a_leader_asks_to_join_as_it_may_be_replaced():
     node = node_with(stored(membership(*NAMES)))
     node.step(act.Tick(), START + 3)
     actions = node.step(act.Tick(), START + 4)
@@ -185,7 +185,7 @@
     assert node.role is Role.FOLLOWER
 
 
-def test_replaced_disk_that_returns_is_taken_in_again():
+def test_replica_started_on_its_replaced_disk_becomes_a_member_again():
     cluster = formed(3)
     replica = cluster.replicas["c3"]
     former = replica.identity, replica.stored
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The log's files: killed at each step, torn, damaged, full."""
+"""Log files after kills at each step, torn writes, damage and full disks."""
 
 import errno
 import random
@@ -39,7 +39,7 @@
 
 
 def history():
-    """Steps of writing, each with what must be stored once it is done."""
+    """Write steps, each with the content that must be stored after it."""
     entries = (entry(1), entry(2), entry(3))
     changed = (entry(1), entry(2), entry(3, 2), entry(4, 2), entry(5, 2))
 
@@ -74,7 +74,7 @@
 
 
 def write_until_killed(files):
-    """Return what was acknowledged last and what was being written."""
+    """Return the last acknowledged content and the one being written when killed."""
     done, tried = None, Stored()
     try:
         storage = opened(files)
@@ -95,7 +95,7 @@
 
 
 def allowed(done, tried):
-    """The old or the new content; a new snapshot may stand with the old state."""
+    """The contents allowed after a kill: old, new, or a new snapshot with old state."""
     mixed = Stored(done.state, tried.snapshot, tried.entries)
     no_entries = Stored(done.state, tried.snapshot)
     return [done, tried, mixed, no_entries]
@@ -103,7 +103,7 @@
 
 @pytest.mark.parametrize("torn", [0, 1, 13, 150, 10_000])
 @pytest.mark.parametrize("power", [False, True])
-def test_each_killed_step_keeps_what_was_acknowledged(power, torn):
+def test_kill_at_any_step_loses_nothing_acknowledged(power, torn):
     for kill_at in range(1, steps_of_history() + 1):
         files = FakeFiles(kill_at, cut=torn)
         done, tried = write_until_killed(files)
@@ -116,7 +116,7 @@
 
 
 def assert_prefix_of_try(found, done, tried):
-    """A torn batch leaves a prefix of its records."""
+    """Only a prefix of the records of a torn batch may remain."""
     assert found.snapshot == done.snapshot
     assert found.state in (done.state, tried.state)
     kept = found.entries
@@ -126,7 +126,7 @@
 
 
 @pytest.mark.parametrize("kill_at", range(1, 12))
-def test_killed_creation_leaves_a_folder_that_opens(kill_at):
+def test_folder_opens_after_a_kill_during_its_creation(kill_at):
     files = FakeFiles(kill_at)
     try:
         opened(files)
@@ -145,7 +145,7 @@
 
 
 @pytest.mark.parametrize("bit", range(0, 8 * 60, 7))
-def test_flipped_bit_in_synced_data_is_damage(bit):
+def test_flipped_bit_in_synced_data_is_reported_as_damage(bit):
     files, log = log_of_two_batches()
     data = bytearray(files.content[log])
     data[-len(data) // 2 + bit // 8] ^= 1 << bit % 8
@@ -154,18 +154,18 @@
         opened(files)
 
 
-def test_zeroed_sector_at_the_end_is_cut():
+def test_zeroed_sector_at_the_end_is_truncated():
     files, log = log_of_two_batches()
     storage = opened(files)
-    sound = len(files.content[log])
+    valid_bytes = len(files.content[log])
     storage.append((Entry(3, 1, data=b"x" * 2000),))
     storage.sync()
-    files.content[log] = files.content[log][: sound + 600] + bytes(1500)
+    files.content[log] = files.content[log][: valid_bytes + 600] + bytes(1500)
     assert [e.index for e in opened(files).stored.entries] == [1, 2]
     assert b"xx" not in files.content[log]
 
 
-def test_zeroed_sector_before_a_later_batch_is_damage():
+def test_zeroed_sector_before_a_synced_batch_is_reported_as_damage():
     files, log = log_of_two_batches()
     storage = opened(files)
     storage.append((Entry(3, 1, data=b"x" * 2000),))
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("name", ["log", "snapshot", "identity"])
-def test_lost_or_changed_file_is_damage(name):
+def test_changed_file_is_reported_as_damage(name):
     files, _ = log_of_two_batches()
     storage = opened(files)
     storage.save_snapshot(Snapshot(2, 1, MEMBERS, b"m"), STATES[0], ())
@@ -191,7 +191,7 @@
         opened(files)
 
 
-def test_missing_log_is_damage_and_no_fresh_start():
+def test_missing_log_is_reported_as_damage_and_not_recreated():
     files, _ = log_of_two_batches()
     files.remove(FOLDER / "log")
     with pytest.raises(DiskDamagedError, match="missing"):
@@ -199,7 +199,7 @@
 
 
 @pytest.mark.parametrize("space", [0, 5, 40])
-def test_full_disk_loses_nothing_and_goes_on_later(space):
+def test_full_disk_loses_nothing_and_sync_can_be_repeated(space):
     files, _ = log_of_two_batches()
     storage = opened(files)
     storage.append((entry(3),))
@@ -212,7 +212,7 @@
     assert len(opened(files.after_power_loss()).stored.entries) == 3
 
 
-def test_full_disk_keeps_the_former_snapshot():
+def test_full_disk_retains_the_previous_snapshot():
     files, _ = log_of_two_batches()
     storage = opened(files)
     files.space = 10
@@ -224,7 +224,7 @@
     assert opened(files.after_power_loss()).stored.snapshot == SNAPSHOT
 
 
-def test_failed_sync_is_no_success():
+def test_failed_sync_raises():
     files, _ = log_of_two_batches()
     storage = opened(files)
     storage.append((entry(3),))
@@ -233,7 +233,7 @@
         storage.sync()
 
 
-def test_foreign_folder_means_a_new_identity():
+def test_folder_of_another_replica_gets_a_new_identity():
     files, _ = log_of_two_batches()
     before = opened(files).me
     foreign = opened(files, name="c2")
@@ -241,7 +241,7 @@
     assert files.exists(FOLDER / f"log.{before.identity}")
 
 
-def test_real_files_bring_back_what_was_written(tmp_path):
+def test_real_files_return_what_was_written(tmp_path):
     storage = opened(OsFiles(), folder=tmp_path)
     for write, _ in history():
         write(storage)
@@ -251,7 +251,7 @@
     again.close()
 
 
-def test_recovery_keeps_all_that_the_disk_holds():
+def test_recovery_retains_everything_on_the_disk():
     me = Member("c1", "a")
     stored = Stored(HardState("x", 5), SNAPSHOT, (entry(5, 2), entry(6, 4)))
     forced = bootstrap.force_single(stored, me, "y")
@@ -262,8 +262,8 @@
     assert "after index 6" in bootstrap.describe(stored).warning
 
 
-def noted(files, *indexes):
-    """Note these commits, each after a sync."""
+def storage_with_commit_notes(files, *indexes):
+    """Append, sync and note each of these commit indexes."""
     storage = opened(files)
     for index in indexes:
         storage.append([entry(index)])
@@ -273,34 +273,34 @@
     return storage
 
 
-def test_the_newest_note_of_a_commit_survives_a_loss_of_power():
+def test_last_commit_note_survives_power_loss():
     files = FakeFiles()
-    noted(files, 1, 2, 3)
+    storage_with_commit_notes(files, 1, 2, 3)
     assert opened(files.after_power_loss()).stored.commit == 3
 
 
 @pytest.mark.parametrize("torn", [1, 10, 30])
-def test_a_torn_note_leaves_the_one_before(torn):
+def test_torn_commit_note_leaves_the_one_before(torn):
     files = FakeFiles()
-    storage = noted(files, 1, 2)
+    storage = storage_with_commit_notes(files, 1, 2)
     storage.note_commit(3)
     files.fail = errno.EIO
-    storage.write_note()  # a failure is no harm
+    storage.write_note()  # the failure is only logged
     files.fail = None
     assert opened(files.after_power_loss(torn)).stored.commit == 2
 
 
-def test_a_note_of_another_identity_counts_for_nothing():
+def test_commit_note_of_another_identity_is_ignored():
     files = FakeFiles()
-    noted(files, 1, 2)
+    storage_with_commit_notes(files, 1, 2)
     storage = FileStorage(FOLDER, files)
     storage.open("c2", random.Random(2))
     assert storage.stored.commit == 0
 
 
-def test_notes_do_not_grow_without_bound():
+def test_file_of_commit_notes_is_bounded():
     files = FakeFiles()
-    storage = noted(files, 1)
+    storage = storage_with_commit_notes(files, 1)
     for index in range(2, 2_000):
         storage.note_commit(index)
         storage.write_note()
