--- a/gooseberrydale/version/order_marks.py
+++ b/gooseberrydale/version/order_marks.py
@@ -10,7 +10,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 
 MARK_LEASE_S = 3.0
-"""Longer than a change of weights takes; then the mark of a dead writer expires."""
+"""Longer than a change of weights takes; a dead writer's mark expires after it."""
 
 _SUFFIX = "/order"
 _KIND = "order"
--- a/gooseberrydale/version/orders.py
+++ b/gooseberrydale/version/orders.py
@@ -142,11 +142,7 @@
         """Close lost orders, then issue pending ones as far as the limits allow."""
         for order in self.issued():
             if order.deadline_s <= now_s:
-                self._close(
-                    order,
-                    OrderState.LOST,
-                    "no report before the deadline",
-                )
+                self._close(order, OrderState.LOST, "no report before the deadline")
         issued = self.issued()
         busy = {order.upstream for order in issued}
         loads = sum(order.kind is OrderKind.LOAD_WEIGHTS for order in issued)
--- a/gooseberrydale/version/replication/bootstrap.py
+++ b/gooseberrydale/version/replication/bootstrap.py
@@ -73,7 +73,7 @@
         warning=(
             f"Entries after index {last.index} (term {last.term}) that were committed"
             " only on the lost disks are lost, and entries here that were never"
-            " committed become committed. Recover on the surviving disk with"
+            " committed now count as committed. Recover on the surviving disk with"
             " the highest term, then index, and empty the other data folders."
         ),
     )
--- a/gooseberrydale/version/replication/joining.py
+++ b/gooseberrydale/version/replication/joining.py
@@ -29,7 +29,13 @@
 
 
 class RepairState(StrEnum):
-    """How far the leader has got with the member of a replica name."""
+    """State of a replica name: whether a caught-up member has it.
+
+    DONE: its member has its membership entry.  UNREACHABLE: its member is silent.
+    CATCHING_UP: a learner joins beside a member of that name.  REPLACING: a learner
+    joins without such a member, or the member lacks its membership entry.  ABSENT: it
+    has neither a member nor a learner.
+    """
 
     DONE = "done"
     UNREACHABLE = "unreachable"
@@ -160,7 +166,7 @@
 
 
 def repairs(core: Core, now: float) -> tuple[Repair, ...]:
-    """The state of each is_tracked replica name; empty unless leading."""
+    """The state of each known replica name; empty unless leading."""
     if core.role is not Role.LEADER:
         return ()
     return tuple(_repair_of(core, name, now) for name in sorted(core.known_names))
--- a/gooseberrydale/version/rollout.py
+++ b/gooseberrydale/version/rollout.py
@@ -20,7 +20,7 @@
 """Assumed time for one engine to change.
 
 Running requests take about 1 s to end, the load takes 0.5 s, and polling adds a delay.
-Changes took 1.6 to 2.7 s while a quarter of the engines was dead."""
+With a quarter of the engines dead, changes take 1.6 to 2.7 s."""
 
 USED_PART = 0.65
 """Fraction of the allowed time within which all engines should be changed.
@@ -70,8 +70,8 @@
     work before its change, it would have to be drained again.
 
     ``named`` maps each model to its wanted version.  ``changing`` names the engines
-    that are changing, ``silent`` those that did not answer lately; neither accept
-    work.  ``left_s`` maps each model to the time left until no work may start on
+    that are changing, ``silent`` those that did not answer lately; none of these
+    accept work.  ``left_s`` maps each model to the time left until no work may start on
     outdated weights; without it the maximum number of engines changes.
     """
     by_model: dict[str, list[EngineWeights]] = {}
@@ -95,7 +95,7 @@
 
     ``waiting`` engines have not started to change and ``left_s`` seconds are left: the
     more time, the fewer at once.  When a quarter of the engines is dead, the others
-    can't serve the load with a further third of them unanswering.
+    can't serve the load with a further third of them changing.
     """
     rounds = max(1, math.floor(left_s / ENGINE_CHANGE_S))
     minimum = 1 if dead else MIN_CONCURRENT_CHANGES
--- a/tests/test_declared.py
+++ b/tests/test_declared.py
@@ -45,7 +45,7 @@
     assert table.route("other", path) is None
 
 
-def test_lookup_of_a_very_deep_path_finds_or_rejects_it() -> None:
+def test_lookup_of_a_deep_path_is_bounded_by_the_deepest_prefix() -> None:
     table = RouteTable(declared(route(host="h", path_prefix="/a/b/")))
     assert table.route("h", "/a/b" + "/" * 10_000) is not None
     assert table.route("h", "/" * 10_000) is None
