--- a/gooseberrydale/version/replication/bootstrap.py
+++ b/gooseberrydale/version/replication/bootstrap.py
@@ -72,7 +72,7 @@
         former_members=tuple(m.name for m in memberships[-1].members),
         warning=(
             f"Entries after index {last.index} (term {last.term}) that were committed"
-            " only on the lost disks are lost, and entries here that were never"
+            " only on the lost disks are gone, and entries here that were never"
             " committed now count as committed. Recover on the surviving disk with"
             " the highest term, then index, and empty the other data folders."
         ),
