--- a/gooseberrydale/version/directory.py
+++ b/gooseberrydale/version/directory.py
@@ -104,11 +104,11 @@
 class Directory:
     """Upstream records by name; see the module docstring for the rules.
 
-    A renewal is propagated once a fraction of the last propagated lease has passed,
-    which ``renewal_part`` sets.  Without ``relays_renewals``, renewals received from
-    another process are never propagated.  Other changes always are.  Both settings
-    limit traffic in fleets of seventy gateways and more with three sessions each, where
-    renewals would be most of what replicas send.
+    A renewal is propagated once the fraction ``renewal_part`` of the last
+    propagated lease has passed.  Without ``relays_renewals``, renewals received
+    from another process are never propagated.  Other changes always are.  Both
+    settings limit traffic in fleets of seventy gateways and more with three sessions
+    each, where renewals would be most of what replicas send.
     """
 
     def __init__(
