--- a/gooseberrydale/connection/__init__.py
+++ b/gooseberrydale/connection/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs, transports and state that live for one connection."""
+"""Message codecs, transports, and state that is kept for one connection."""
--- a/gooseberrydale/connection/area_gossip.py
+++ b/gooseberrydale/connection/area_gossip.py
@@ -1,8 +1,9 @@
-"""Reports sums of work between availability zones, as the relay of the own one.
+"""Exchanges sums of work between availability zones through one relay per zone.
 
-Lives as long as the process; only the relay of a zone sends anything.  It adds up what
-the gateways of its zone have reported, sends the sums to the relays of the other zones,
-and passes on to its own zone what these send.
+Each gateway process has one :class:`AreaGossip`, but only the relay of a zone sends.
+It sums up the work that the gateways of its zone have reported, sends the sums to the
+relays of the other zones, and forwards the sums that it receives to its own zone.  An
+"area" in the messages is one availability zone, or all zones but the receiver's.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 from collections.abc import Iterable, Mapping
 
 from gooseberrydale.connection.gateway_datagrams import FleetView, GatewayDatagrams
-from gooseberrydale.connection.work_gossip import REPEAT_S, OwnView
+from gooseberrydale.connection.work_gossip import FULL_REPORT_INTERVAL_S, LocalWork
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.peer_loads import (
     ELSEWHERE,
@@ -25,48 +26,52 @@
     changes,
 )
 
-TELL_S = 0.05
-"""Between two sums: with the way to the relay and from the other one about half of the
-time that a prompt takes."""
+REPORT_INTERVAL_S = 0.05
+"""Interval between two sums.  Together with the transfer to the relay and from the
+other relay it takes about half of the time that a prompt takes."""
 
-LOOK_S = 0.25
-"""How soon a gateway takes over for a relay that has fallen silent."""
+RELAY_CHECK_INTERVAL_S = 0.25
+"""How often a gateway checks whether it must replace a relay that is silent."""
 
-STAND_INS = 2
-"""Gateways that get the sums of a zone whose relay has not been heard yet."""
+FALLBACK_RELAYS = 2
+"""How many gateways of another zone are sent the sums while its relay is unknown:
+no report from it has arrived yet, or the last one is too old."""
 
 
 class AreaGossip:
-    """Sums between zones; does nothing while this gateway is not the relay."""
+    """Sends sums of work between zones while this gateway is the relay of its zone.
+
+    On other gateways it only merges the sums that the relay forwards.
+    """
 
     def __init__(
         self,
         datagrams: GatewayDatagrams,
         incarnation: str,
         loads: PeerLoads,
-        view: OwnView,
+        view: LocalWork,
         fleet: FleetView,
     ) -> None:
         self._datagrams = datagrams
         self._loads = loads
         self._view = view
         self._fleet = fleet
-        self._relays = False
-        # Relays of other zones, and when they were heard.
-        self._heard: dict[str, tuple[str, float]] = {}
-        self._to_far = _Sums(incarnation)
-        self._to_near = _Sums(incarnation)
+        self._is_relay = False
+        # By zone: the relay that last reported, and when (loop clock).
+        self._last_reports: dict[str, tuple[str, float]] = {}
+        self._far_sums = _SumReporter(incarnation)
+        self._near_sums = _SumReporter(incarnation)
         self._started_at = -math.inf
         self._task: asyncio.Task[None] | None = None
-        datagrams.on(AreaReport, self._hear)
+        datagrams.on(AreaReport, self._receive)
 
     async def start(self) -> None:
-        """Begin to look whether this gateway is the relay; the socket is open."""
+        """Start checking whether this gateway is the relay; the socket must be open."""
         self._started_at = asyncio.get_running_loop().time()
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop telling."""
+        """Stop sending reports."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -75,24 +80,26 @@
         loop = asyncio.get_running_loop()
         while True:
             fleet = self._fleet()
-            self._note_relay(fleet, loop.time())
-            if self._relays:
-                self._tell(fleet, loop.time())
-            await asyncio.sleep(TELL_S if self._relays else LOOK_S)
-
-    def _note_relay(self, fleet: Fleet, now: float) -> None:
+            self._update_relay(fleet, loop.time())
+            if self._is_relay:
+                self._send_sums(fleet, loop.time())
+            await asyncio.sleep(
+                REPORT_INTERVAL_S if self._is_relay else RELAY_CHECK_INTERVAL_S
+            )
+
+    def _update_relay(self, fleet: Fleet, now: float) -> None:
         alive: Iterable[str] = self._loads.gateways
         if now < self._started_at + FORGET_S:
-            # Who is there has not had time to say so.
-            alive = [one.name for one in fleet.near]
+            # After the start, not every gateway has had time to report.
+            alive = [gateway.name for gateway in fleet.near]
         near = len(fleet.near)
         self._loads.note_unheard(len(fleet.others) - near, near)
-        relays = fleet.relay(set(alive)) == fleet.own.name
-        if relays != self._relays:
-            self._relays = relays
+        is_relay = fleet.relay(set(alive)) == fleet.own.name
+        if is_relay != self._is_relay:
+            self._is_relay = is_relay
             self._loads.forget_areas()
 
-    def _tell(self, fleet: Fleet, now: float) -> None:
+    def _send_sums(self, fleet: Fleet, now: float) -> None:
         own, near = self._view.works(), self._loads.near(now)
         zone = Summary(
             works=add_up((*own, *near.works.values())),
@@ -100,62 +107,69 @@
             silent=tuple({*self._view.silent(now), *near.silent}),
         )
         name = fleet.own.name
-        report = self._to_far.next(fleet.own.zone, name, zone, now)
+        report = self._far_sums.next(fleet.own.zone, name, zone, now)
         if report is not None:
             self._datagrams.send(report, self._far_relays(fleet, now))
-        report = self._to_near.next(ELSEWHERE, name, self._loads.elsewhere(now), now)
+        report = self._near_sums.next(ELSEWHERE, name, self._loads.elsewhere(now), now)
         if report is not None:
             self._datagrams.send(report, fleet.near)
 
     def _far_relays(self, fleet: Fleet, now: float) -> list[GatewayPeer]:
-        found: list[GatewayPeer] = []
-        for zone, order in fleet.far.items():
-            name, at = self._heard.get(zone, ("", -math.inf))
-            known = [one for one in order if one.name == name and now < at + REPEAT_S]
-            found.extend(known or order[:STAND_INS])
-        return found
-
-    def _hear(self, report: AreaReport) -> None:
+        targets: list[GatewayPeer] = []
+        for zone, relay_order in fleet.far.items():
+            name, reported_at = self._last_reports.get(zone, ("", -math.inf))
+            recent = [
+                peer
+                for peer in relay_order
+                if peer.name == name and now < reported_at + FULL_REPORT_INTERVAL_S
+            ]
+            targets.extend(recent or relay_order[:FALLBACK_RELAYS])
+        return targets
+
+    def _receive(self, report: AreaReport) -> None:
         now = asyncio.get_running_loop().time()
-        # A relay hears of single zones, all others of the sum of them.
-        if self._relays == (report.area == ELSEWHERE):
+        # A relay merges reports of single zones; the other gateways merge their sum.
+        if self._is_relay == (report.area == ELSEWHERE):
             return
         if self._loads.take_area(report, now):
-            self._heard[report.area] = report.relay, now
+            self._last_reports[report.area] = report.relay, now
             self._view.peer_refused(report.refusing, now)
             self._view.peer_silent(report.silent, now)
 
 
-class _Sums:
-    """Reports to one set of gateways: what changed, and all each second."""
+class _SumReporter:
+    """Builds the reports for one set of gateways.
+
+    A report holds the sums that have changed; once a second it holds all of them.
+    """
 
     def __init__(self, incarnation: str) -> None:
         self._incarnation = incarnation
         self._seq = 0
-        self._told: Mapping[str, UpstreamWork] = {}
-        self._refusing: tuple[str, ...] = ()
-        self._whole_at = -math.inf
+        self._last_works: Mapping[str, UpstreamWork] = {}
+        self._last_refusing: tuple[str, ...] = ()
+        self._last_full_at = -math.inf
 
     def next(
-        self, area: str, relay: str, now_told: Summary, now: float
+        self, area: str, relay: str, summary: Summary, now: float
     ) -> AreaReport | None:
-        """What to tell now; None if nothing has changed."""
-        whole = now >= self._whole_at + REPEAT_S
-        works = now_told.works
-        told = tuple(works.values()) if whole else changes(self._told, works)
-        if not (whole or told or now_told.refusing != self._refusing):
+        """Return the report to send now, or None if nothing has changed."""
+        whole = now >= self._last_full_at + FULL_REPORT_INTERVAL_S
+        works = summary.works
+        reported = tuple(works.values()) if whole else changes(self._last_works, works)
+        if not (whole or reported or summary.refusing != self._last_refusing):
             return None
-        self._told, self._refusing = works, now_told.refusing
+        self._last_works, self._last_refusing = works, summary.refusing
         if whole:
-            self._whole_at = now
+            self._last_full_at = now
         self._seq += 1
         return AreaReport(
             area=area,
             relay=relay,
             incarnation=self._incarnation,
             seq=self._seq,
-            works=told,
-            refusing=now_told.refusing,
+            works=reported,
+            refusing=summary.refusing,
             whole=whole,
-            silent=now_told.silent,
+            silent=summary.silent,
         )
--- a/gooseberrydale/connection/backoff.py
+++ b/gooseberrydale/connection/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between tries to reconnect; lives as long as the client that tries."""
+"""Delays between the connection attempts of one client."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 
 class Backoff:
-    """Doubling delays with jitter, from ``first_s`` up to ``max_s`` seconds.
+    """Exponential backoff with jitter, from ``first_s`` up to ``max_s`` seconds.
 
-    Each delay is drawn from the upper half of its bound, so that clients of one
-    server spread out.
+    Each delay is drawn from the upper half of the current bound.  The jitter keeps the
+    clients of a server from reconnecting at the same moment.
     """
 
     def __init__(self, first_s: float, max_s: float, rng: random.Random) -> None:
@@ -19,11 +19,11 @@
         self._bound_s = first_s
 
     def next_s(self) -> float:
-        """The delay before the next try, in seconds."""
+        """Return the delay before the next attempt and double the bound."""
         delay_s = self._bound_s * self._rng.uniform(0.5, 1.0)
         self._bound_s = min(self._bound_s * 2, self._max_s)
         return delay_s
 
     def reset(self) -> None:
-        """Begin with the first delay again."""
+        """Start again with the first delay."""
         self._bound_s = self._first_s
--- a/gooseberrydale/connection/channels.py
+++ b/gooseberrydale/connection/channels.py
@@ -1,8 +1,8 @@
-"""Keeps one channel to each sidecar that requests go to.
+"""Pools gRPC channels: one to each sidecar that requests are sent to.
 
-A channel belongs to one address and one incarnation of a sidecar.  One that fell
-silent is replaced by a new connection.  A channel that is no longer wanted closes
-once its last user has given it back, so that replacing it disturbs nobody.
+A channel belongs to one address and one incarnation of a sidecar.  A silent channel is
+replaced by a new one.  A channel that is replaced or no longer needed is closed once
+its last user has released it, so calls that are still running on it are not cancelled.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
     @property
     def address(self) -> str:
-        """Its gRPC listener."""
+        """Address of its gRPC listener."""
 
     @property
     def incarnation(self) -> str:
@@ -33,7 +33,7 @@
 
 
 class ChannelPool:
-    """Channels by (address, incarnation); whoever takes one gives it back."""
+    """Channels by (address, incarnation); each one acquired must be released."""
 
     def __init__(self, dial: Dial) -> None:
         self._dial = dial
@@ -42,8 +42,7 @@
         self._closing: set[asyncio.Task[None]] = set()
 
     def take(self, endpoint: Endpoint) -> RpcChannel:
-        """The channel in use for this incarnation of the sidecar, opened on first
-        use."""
+        """Return the channel to this incarnation of a sidecar; open it on first use."""
         key = _key(endpoint)
         if key not in self._channels:
             self._channels[key] = self._dial(endpoint.address)
@@ -52,14 +51,17 @@
         return channel
 
     def give_back(self, channel: RpcChannel) -> None:
-        """Say that a channel that was taken is used no more."""
+        """Release an acquired channel."""
         self._users[channel] -= 1
         if self._users[channel] <= 0:
             del self._users[channel]
-            self._close_unwanted(channel)
+            self._close_if_unused(channel)
 
     def replace(self, endpoint: Endpoint, silent: RpcChannel) -> RpcChannel:
-        """Give back ``silent`` and take another; all who meet it share the new one."""
+        """Release ``silent`` and acquire a new channel in its place.
+
+        All users of ``silent`` that replace it share the same new channel.
+        """
         if self._channels.get(_key(endpoint)) is silent:
             del self._channels[_key(endpoint)]
         self.give_back(silent)
@@ -67,7 +69,7 @@
 
     @contextlib.contextmanager
     def using(self, endpoint: Endpoint) -> Iterator[RpcChannel]:
-        """Take a channel for the length of a block."""
+        """Acquire a channel for the duration of a ``with`` block."""
         channel = self.take(endpoint)
         try:
             yield channel
@@ -75,19 +77,19 @@
             self.give_back(channel)
 
     def keep(self, endpoints: Iterable[Endpoint]) -> None:
-        """Want no channels but those of ``endpoints`` any longer."""
-        for key in set(self._channels) - {_key(one) for one in endpoints}:
-            self._close_unwanted(self._channels.pop(key))
+        """Keep the channels to ``endpoints`` and close all others once unused."""
+        for key in set(self._channels) - {_key(endpoint) for endpoint in endpoints}:
+            self._close_if_unused(self._channels.pop(key))
 
     async def close(self) -> None:
-        """Close all channels at once."""
+        """Close all channels without waiting for their users."""
         channels = {*self._channels.values(), *self._users}
         self._channels.clear()
         for channel in channels:
             await channel.close()
         await asyncio.gather(*self._closing)
 
-    def _close_unwanted(self, channel: RpcChannel) -> None:
+    def _close_if_unused(self, channel: RpcChannel) -> None:
         if channel in self._users or channel in self._channels.values():
             return
         task = asyncio.create_task(channel.close())
--- a/gooseberrydale/connection/codec.py
+++ b/gooseberrydale/connection/codec.py
@@ -1,10 +1,10 @@
 """Codec of the messages between the system's own processes.
 
-A message is a frozen dataclass registered with :func:`message`.  On the wire it
-is MessagePack: an array of the message's name and its fields as a map, or as an array
-if it is a ``msgspec.Struct`` that asks for that.  Unknown
-fields are ignored and missing ones take their defaults, so that processes of
-neighbouring releases understand each other during a rolling upgrade.
+A message is a frozen dataclass registered with :func:`message`.  It is encoded as
+MessagePack: an array of the message's name and its fields.  The fields are a map, or an
+array if the message is a ``msgspec.Struct`` with ``array_like``.  Unknown fields are
+ignored and missing ones take their defaults: processes of adjacent releases can
+exchange messages during a rolling upgrade.
 """
 
 from __future__ import annotations
@@ -23,26 +23,30 @@
 
 
 class CodecError(ValueError):
-    """The bytes are no message of a known kind."""
+    """The bytes are not an encoded message of a registered type."""
 
 
 def message(cls: type[T]) -> type[T]:
-    """Register a data class under its own name; names are part of the protocol."""
+    """Register a message class; its class name becomes part of the protocol."""
     if not (dataclasses.is_dataclass(cls) or issubclass(cls, msgspec.Struct)):
-        raise TypeError(f"{cls.__name__} is not a dataclass; decorate it first")
+        raise TypeError(
+            f"{cls.__name__} is not a dataclass; apply @dataclass before @message"
+        )
     if cls.__name__ in _TYPES:
-        raise TypeError(f"message name {cls.__name__} is taken; rename the class")
+        raise TypeError(
+            f"message name {cls.__name__} is already registered; rename the class"
+        )
     _TYPES[cls.__name__] = cls
     return cls
 
 
 def encode(msg: Any) -> bytes:
-    """Return the wire form of a registered message."""
+    """Return the encoded form of a registered message."""
     return _encoder.encode((type(msg).__name__, msg))
 
 
 def decode(data: bytes) -> Any:
-    """Return the message in ``data``; raise :class:`CodecError` if there is none."""
+    """Return the message in ``data``; raise :class:`CodecError` if it is invalid."""
     try:
         name, raw = _envelope.decode(data)
         return _decoder(name).decode(raw)
--- a/gooseberrydale/connection/control_client.py
+++ b/gooseberrydale/connection/control_client.py
@@ -1,9 +1,9 @@
-"""Asks the control replicas to commit a request, wherever their leader is.
+"""Sends requests to the control replicas and finds the leader that commits them.
 
-Lives as long as the process.  It keeps one connection to each replica that it has
-asked and remembers which one led.  All requests of ``control_messages`` are
-idempotent, so one is sent again, to the same or another replica, until a reply
-without a passing problem comes or the time is up.
+A process has one :class:`ControlClient`.  It keeps one connection to each replica that
+it has called and remembers the last leader.  All requests of ``control_messages`` are
+idempotent, so a request is sent again, to the same or another replica, until a reply
+arrives that has no transient problem, or the time limit is reached.
 """
 
 from __future__ import annotations
@@ -30,11 +30,11 @@
 RETRY_MIN_S = 0.02
 RETRY_MAX_S = 0.2
 RETRY_AFTER_S = 1.0
-PASSING_CODES = (NOT_LEADER.code, NO_QUORUM.code)
+TRANSIENT_CODES = (NOT_LEADER.code, NO_QUORUM.code)
 
 
 class ControlClient:
-    """Requests to the replicas at ``addresses``; ``close`` drops the connections."""
+    """Client of the control replicas at ``addresses``."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
         self._target = ""
 
     async def ask(self, req: Any, timeout_s: float) -> Result[Any, Problem]:
-        """Return the committed reply to ``req``, which may hold a problem of its own.
+        """Return the committed reply to ``req``, whose own ``problem`` may be set.
 
-        The error is ``claim_unavailable``: no replica could commit it in time, and
-        whether it was committed is unknown.
+        The error is ``claim_unavailable``: no replica confirmed within ``timeout_s``
+        that it committed the request, so whether it was committed is unknown.
         """
         if not self._addresses:
             return Err(problem(CLAIM_UNAVAILABLE, retry_after_s=RETRY_AFTER_S))
@@ -74,9 +74,9 @@
 
     async def _ask_until_answered(self, req: Any) -> Any:
         while True:
-            target = self._target or self._any_address()
+            target = self._target or self._random_address()
             reply = await self._call(target, req)
-            if reply is not None and not _is_passing(reply.problem):
+            if reply is not None and not _is_transient(reply.problem):
                 self._target = target
                 return reply
             leader = "" if reply is None else reply.leader
@@ -93,7 +93,7 @@
         try:
             return await channel.call(PROPOSE, req, timeout_s=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError:
-            # A connection that went silent is replaced, not waited for.
+            # The next call opens a new connection: this one may be silent.
             if self._channels.get(address) is channel:
                 del self._channels[address]
             return None
@@ -102,15 +102,18 @@
             await self._close_if_unused(address, channel)
 
     async def _close_if_unused(self, address: str, channel: RpcChannel) -> None:
-        """Close a replaced channel after its last call: closing cancels the others."""
+        """Close a replaced channel once its last call has ended.
+
+        Closing it earlier would cancel the calls that are still running on it.
+        """
         if self._users[channel] or self._channels.get(address) is channel:
             return
         del self._users[channel]
         await channel.close()
 
-    def _any_address(self) -> str:
+    def _random_address(self) -> str:
         return self._rng.choice(self._addresses)
 
 
-def _is_passing(refused: Problem | None) -> bool:
-    return refused is not None and refused.code in PASSING_CODES
+def _is_transient(refused: Problem | None) -> bool:
+    return refused is not None and refused.code in TRANSIENT_CODES
--- a/gooseberrydale/connection/control_messages.py
+++ b/gooseberrydale/connection/control_messages.py
@@ -1,10 +1,11 @@
-"""Requests that the control replicas commit, and their replies.
-
-The same messages travel from entries and sidecars to control and stand in the
-replicated log: a log entry is one :class:`Command`, a group of encoded requests
-with the proposer's wall time.  All requests are idempotent, so that a sender may
-repeat one whose answer was lost.  A reply with ``problem`` changed nothing; its
-``leader`` is the gRPC address of the replica to ask instead, empty if unknown.
+"""Requests that the control replicas commit, and the replies to them.
+
+Entries and sidecars send these messages to the control replicas, which also store them
+in the replicated log: a log entry is one :class:`Command`, a group of encoded requests
+with the wall time of the proposer.  All requests are idempotent; a sender may repeat
+one if the reply was lost.  If ``problem`` is set in a reply, the request changed
+nothing, and ``leader`` is the gRPC address of the replica to call instead, empty if
+unknown.
 """
 
 from __future__ import annotations
@@ -20,10 +21,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Command:
-    """One log entry: requests applied in order at ``wall_s`` (Unix seconds).
+    """One log entry: requests that are applied in order, as of ``wall_s``.
 
-    ``cluster`` is the id of the proposer's cluster; it changes when a cluster is
-    recovered from one disk.
+    ``wall_s`` is the proposer's clock in Unix seconds.  ``cluster`` is the id of the
+    proposer's cluster; it changes when a cluster is recovered from one disk.
     """
 
     wall_s: float
@@ -42,7 +43,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Reply to a request that answers nothing but whether it was taken."""
+    """Reply that states only whether a request was accepted."""
 
     problem: Problem | None = None
     leader: str = ""
@@ -52,7 +53,7 @@
 
 
 class EditKind(StrEnum):
-    """What one edit does."""
+    """The kinds of edits of the declarations."""
 
     APPLY_PROFILE = "apply_profile"
     RETIRE_PROFILE = "retire_profile"
@@ -65,7 +66,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """One edit; ``name`` is what is retired, marked or unmarked."""
+    """One edit of the declarations.
+
+    ``name`` is the profile or workspace to retire, or the upstream to mark or unmark as
+    leaving.
+    """
 
     kind: EditKind
     name: str = ""
@@ -76,7 +81,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ChangeReq:
-    """Edits that take effect together, if ``base`` is the revision in force."""
+    """Asks for edits that take effect together, if ``base`` is the current revision."""
 
     change_id: str
     base: int
@@ -87,20 +92,24 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ChangeReply:
-    """``revision`` is the one that the change made, or the one in force."""
+    """Reply to a :class:`ChangeReq`.
+
+    ``revision`` is the one that the change created, or the current one if the change
+    was refused.
+    """
 
     revision: int = 0
     problem: Problem | None = None
     leader: str = ""
 
 
-# Whole documents, and the weights that models are served with.
+# Complete configuration documents, and the weights versions of models.
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class DeclareReq:
-    """Put a document in force unless one with a number as high is."""
+    """Activates a document unless the current one has the same or a higher number."""
 
     document: Document
 
@@ -108,7 +117,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class NameWeightsReq:
-    """Serve ``model`` with ``version``, unless a later one was named."""
+    """Sets the weights version of ``model``, unless a newer one has been set."""
 
     model: str
     version: int
@@ -117,13 +126,13 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ReadDocumentReq:
-    """Ask for the document in force; read through the log, so never an older one."""
+    """Reads the current document through the log, which rules out an outdated one."""
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class DocumentReply:
-    """The document in force when the request was committed, None if there is none."""
+    """The current document at the time of the commit, None if there is none."""
 
     document: Document | None = None
     problem: Problem | None = None
@@ -134,7 +143,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an upstream is told to do."""
+    """The operations that an upstream can be ordered to execute."""
 
     LOAD_WEIGHTS = "load_weights"
     LOAD_ADAPTER = "load_adapter"
@@ -142,7 +151,7 @@
 
 
 class OrderState(StrEnum):
-    """Where an order stands; the last three are final."""
+    """The state of an order; ``DONE``, ``FAILED`` and ``LOST`` are final."""
 
     PENDING = "pending"
     ISSUED = "issued"
@@ -154,10 +163,12 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order.
+    """An order to one upstream, with its state.
 
-    ``order_id`` counts orders as placed.  ``number`` is the fencing number, given
-    when the order is issued; 0 before.  ``deadline_s`` is in committed time.
+    ``order_id`` numbers the orders in the sequence in which they were placed.
+    ``number`` is the fencing number, assigned when the order is issued; 0 before.
+    ``placed_s`` and ``deadline_s`` are in committed time, which advances with the
+    ``wall_s`` of log entries.
     """
 
     order_id: int
@@ -176,10 +187,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class PlaceOrderReq:
-    """An operator's order; ``change_id`` names it for resends.
+    """Places an order for an operator; a resend has the same ``change_id``.
 
-    ``announced`` is whether the proposing leader knew the upstream.  It is part of
-    the entry, since what is announced differs from replica to replica.
+    ``announced`` states whether the proposing leader had received an announcement of
+    the upstream.  The flag is stored in the log entry since the received announcements
+    differ between replicas, and all replicas must decide alike.
     """
 
     change_id: str
@@ -194,7 +206,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class PlaceOrderReply:
-    """The order as placed."""
+    """Reply to a :class:`PlaceOrderReq`: the order that was placed."""
 
     order: Order | None = None
     problem: Problem | None = None
@@ -204,7 +216,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ReportOrderReq:
-    """The upstream has carried out the order under ``number``, or refused it."""
+    """Reports that the upstream has executed the order ``number``, or refused it."""
 
     number: int
     upstream: str
@@ -215,7 +227,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ReadFenceReq:
-    """Ask a quorum for the highest fencing number issued to ``upstream``."""
+    """Reads the highest fencing number issued to ``upstream`` from a quorum."""
 
     upstream: str
 
@@ -223,7 +235,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class FenceReply:
-    """The highest fencing number issued to the upstream; 0 if none was."""
+    """Reply to a :class:`ReadFenceReq`; ``number`` is 0 if none was issued."""
 
     number: int = 0
     problem: Problem | None = None
@@ -233,10 +245,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class OrderReq:
-    """An issued order on its way from the leader to a sidecar.
+    """Sends an issued order from the leader to a sidecar.
 
-    The sidecar refuses a number below the highest it knows; under an equal number
-    it does not start again but answers with the state of that order.
+    The sidecar refuses a number below the highest that it has received.  For an equal
+    number it does not execute the order again but replies with its state.
     """
 
     number: int
@@ -249,22 +261,26 @@
 @message
 @dataclass(frozen=True, slots=True)
 class OrderReply:
-    """``finished`` is False while the upstream still works on the order."""
+    """Reply to an :class:`OrderReq`.
+
+    ``finished`` is False while the upstream is still executing the order.
+    """
 
     number: int
     finished: bool
     problem: Problem | None = None
 
 
-# Claims of calls that may not be repeated.
+# Claims on calls that must not run twice, by Idempotency-Key.
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """The one attempt that may run: request, attempt, and the sidecar's incarnation.
+    """The one attempt that may run a claimed call.
 
-    ``record_seq`` is the sidecar's announcement that the attempt is based on.
+    ``incarnation`` is that of the sidecar.  ``record_seq`` is the ``seq`` of the
+    sidecar's announcement that the attempt is based on (0: not stated).
     """
 
     request_id: str
@@ -276,7 +292,7 @@
 
 
 class ClaimState(StrEnum):
-    """Where the claimed call stands; the last two are final."""
+    """The state of a claimed call; all but ``RUNNING`` are final."""
 
     RUNNING = "running"
     FINISHED = "finished"
@@ -286,10 +302,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """What is committed about one Idempotency-Key of one workspace.
+    """The committed state of one Idempotency-Key of one workspace.
 
-    ``digest`` is the digest of the body.  ``answer_kept`` is False if the answer
-    was too large to keep; then status and headers alone are known.
+    ``digest`` is the digest of the request body.  ``answer_kept`` is False if the body
+    of the answer was too large to store; only its status and headers are available
+    then.
     """
 
     workspace: str
@@ -307,7 +324,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ClaimReq:
-    """Claim a key for one attempt, before that attempt is dispatched."""
+    """Claims a key for one attempt, before that attempt is dispatched."""
 
     workspace: str
     key: str
@@ -318,10 +335,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class MoveReq:
-    """Hand a claim to another attempt.
+    """Moves a claim from one attempt to another.
 
-    ``tombstone`` states that the sidecar of ``old`` has confirmed that ``old``
-    never ran and never will.
+    ``tombstone`` states that the sidecar of ``old`` has confirmed that ``old`` has
+    not run and never will.
     """
 
     workspace: str
@@ -334,7 +351,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ReleaseReq:
-    """Give a claim up after a confirmed tombstone, so that the key is free."""
+    """Releases a claim after a confirmed tombstone; the key can be claimed again."""
 
     workspace: str
     key: str
@@ -345,7 +362,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class FinishReq:
-    """Record the answer of the claimed call, or that its outcome is unknown."""
+    """Records the answer of the claimed call, or that its outcome is unknown."""
 
     workspace: str
     key: str
@@ -359,10 +376,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Reply to claim, move, release and finish.
+    """Reply to requests that claim, move, release or finish.
 
-    ``granted`` allows the holder named in the request to be dispatched.  Otherwise
-    ``record`` is what is committed, or ``problem`` says why nothing was done.
+    If ``granted`` is True, the holder named in the request may be dispatched.
+    Otherwise ``record`` is the committed claim, or ``problem`` states why the request
+    changed nothing.
     """
 
     granted: bool = False
@@ -371,16 +389,16 @@
     leader: str = ""
 
 
-# Upkeep, proposed by the leader itself.
+# Maintenance, proposed by the leader itself.
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of the replicated state; they are part of it.
+    """Bounds of the replicated state, which are part of that state themselves.
 
-    Replicas may run with different settings for a while, so the settings take
-    effect only through the log.  Times are seconds, sizes bytes.
+    Replicas may run with different settings for a while, so changed settings take
+    effect only through the log.  Times are in seconds, sizes in bytes.
     """
 
     audit_entries: int = 10_000
@@ -398,7 +416,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class SetLimitsReq:
-    """Put other bounds in force."""
+    """Replaces the bounds of the replicated state."""
 
     limits: Limits
 
@@ -406,13 +424,13 @@
 @message
 @dataclass(frozen=True, slots=True)
 class TickReq:
-    """Let committed time pass, so that deadlines and expiries take effect."""
+    """Advances committed time, which lets deadlines and expiries take effect."""
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class NoteReq:
-    """Write an entry into the audit trail that is no change, such as a bad token."""
+    """Adds an audit entry for an event that is not a change, such as a bad token."""
 
     operator: str
     action: str
--- a/gooseberrydale/connection/engine_orders.py
+++ b/gooseberrydale/connection/engine_orders.py
@@ -1,6 +1,7 @@
-"""What control asks of an engine that takes orders without a sidecar.
+"""Interface through which control sends orders to engines that have no sidecar.
 
-One call each; how the engine speaks is up to the implementation.
+:class:`EngineOrders` is the interface; implementations translate it into the protocol
+of an engine.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself; it may lag by some hundred milliseconds.
+    """The state that an engine reports; it may lag by some hundred milliseconds.
 
-    ``versions`` holds the weights version by model, ``accepted`` counts the orders
-    that this incarnation of the engine has accepted, ``busy`` is True while one is
-    carried out, ``running`` counts the requests that it works on or keeps waiting.
-    ``born_ms`` is the start of this incarnation, in Unix milliseconds, None if it is
-    not told.
+    ``versions`` holds the weights version by model, ``accepted`` counts the orders that
+    this incarnation of the engine has accepted, ``busy`` is True while it executes one,
+    ``running`` counts the requests that it processes or queues.  ``born_ms`` is the
+    start time of this incarnation in Unix milliseconds, None if the engine does not
+    report it.
     """
 
     versions: dict[str, int]
@@ -31,31 +32,31 @@
 
 
 class OrderAnswer(Enum):
-    """What became of an order, as far as the engine's answer tells."""
+    """The outcome of sending an order, according to the engine's answer."""
 
     ACCEPTED = auto()
-    """It is being carried out."""
+    """The engine is executing the order."""
     HOLDS = auto()
-    """It holds already."""
+    """The engine already serves that version."""
     CONFLICT = auto()
-    """Another order is in progress, or other orders came since the report."""
+    """Another order is in progress, or others were accepted since the report."""
     FENCED = auto()
-    """A later holder has given orders."""
+    """An order with a higher fencing number has been accepted before."""
     REFUSED = auto()
-    """The engine does not know the model or the version."""
+    """The engine does not have the model or the version."""
     OTHER_INCARNATION = auto()
-    """Another incarnation of an engine listens there."""
+    """Another incarnation of an engine listens at this address."""
     UNKNOWN = auto()
-    """No answer: the order may be carried out, now or later."""
+    """No answer: the order may be executed, now or later."""
 
 
 @dataclass(frozen=True, slots=True)
 class WeightsOrder:
-    """Serve ``model`` with ``version`` once the runs on the engine have ended.
+    """Orders an engine to serve ``model`` with ``version`` once its runs have ended.
 
-    ``number`` is the fencing number of ``holder``; the order is void if the engine
-    has accepted another number of orders than ``after``.  With ``keep_runs`` the engine
-    does not wait for its runs; they go on with the new weights.
+    ``number`` is the fencing number of ``holder``.  The engine rejects the order unless
+    it has accepted exactly ``after`` orders before.  With ``keep_runs`` the engine does
+    not wait for its runs; they continue with the new weights.
     """
 
     model: str
@@ -67,10 +68,10 @@
 
 
 class EngineOrders(Protocol):
-    """Calls to engines; each takes a second at most."""
+    """Calls to engines; each one ends within a second."""
 
     async def report(self, engine: UpstreamRecord) -> EngineReport | None:
-        """What the engine says of itself; None if it did not answer."""
+        """Return the state of the engine; None if it did not answer."""
 
     async def order(self, engine: UpstreamRecord, order: WeightsOrder) -> OrderAnswer:
-        """Give an order once."""
+        """Send an order once, without a retry."""
--- a/gooseberrydale/connection/gateway_datagrams.py
+++ b/gooseberrydale/connection/gateway_datagrams.py
@@ -1,7 +1,8 @@
-"""Datagrams between gateways: to those nearby, and to all by way of relays.
+"""Sends datagrams between gateways: directly to nearby ones, to all others by relays.
 
-Lives as long as the process.  Datagrams stay within this system's own hosts; whoever
-can send one could only spoil the order in which upstreams are chosen.
+There is one socket per process.  Datagrams stay within the hosts of this system and are
+not authenticated: a forged one could only worsen the order in which upstreams are
+chosen.
 """
 
 from __future__ import annotations
@@ -22,92 +23,108 @@
 @message
 @dataclass(frozen=True, slots=True)
 class HandOn:
-    """Another message, for all gateways of the availability zone that gets it."""
+    """Asks the receiving gateway to forward ``body`` to all others of its zone.
+
+    ``body`` is another encoded message.
+    """
 
     body: bytes
 
 
 class GatewayDatagrams(asyncio.DatagramProtocol):
-    """One socket; ``fleet`` is asked whenever something is sent."""
+    """The socket of a gateway and the handlers of the messages that it receives.
+
+    ``fleet`` returns the current gateways; it is called for each broadcast and each
+    forwarded message.
+    """
 
     def __init__(self, address: str, fleet: FleetView) -> None:
         self._address = address
         self._fleet = fleet
         self._transport: asyncio.DatagramTransport | None = None
         self._handlers: dict[type[Any], Callable[[Any], None]] = {}
-        self._turn = 0
+        self._rotation = 0
 
     async def start(self) -> None:
-        """Bind; raises OSError if the address is taken."""
+        """Bind the socket; raise OSError if the address is in use."""
         loop = asyncio.get_running_loop()
         self._transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=_host_port(self._address)
         )
 
     def close(self) -> None:
-        """Send and hear nothing any more."""
+        """Close the socket; later sends do nothing."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     @property
     def is_open(self) -> bool:
-        """Whether anything can be sent."""
+        """Whether the socket is open."""
         return self._transport is not None
 
     def on(self, kind: type[T], handler: Callable[[T], None]) -> None:
-        """Hand messages of ``kind`` to ``handler``."""
+        """Call ``handler`` with each received message of type ``kind``."""
         self._handlers[kind] = handler
 
-    def send(self, told: object, peers: Iterable[GatewayPeer]) -> None:
-        """Send a registered message once, come what may."""
-        self._send(encode(told), peers)
+    def send(self, msg: object, peers: Iterable[GatewayPeer]) -> None:
+        """Send a registered message once to each peer, without a retry."""
+        self._send(encode(msg), peers)
 
-    def spread(self, told: object, lane: int = 0) -> None:
+    def spread(self, msg: object, relay_index: int = 0) -> None:
         """Send a registered message to all gateways once, by relays if there are many.
 
-        Senders that repeat each other use different lanes, so that no single gateway
-        that is gone keeps a message from its zone: by lane 0 it goes to the first relay
-        of each other zone, by others to the rest in turn.
+        With ``relay_index`` 0 the first relay of each other zone forwards the message,
+        with any other value the remaining gateways of the zone do so in rotation.
+        Senders of the same message use different values: one gateway that has failed
+        then can't withhold the message from its whole zone.
         """
-        fleet, body = self._fleet(), encode(told)
+        fleet, body = self._fleet(), encode(msg)
         self._send(body, fleet.near)
         if not fleet.far:
             return
-        self._turn += 1
-        carriers = [_carrier(order, lane, self._turn) for order in fleet.far.values()]
-        self._send(encode(HandOn(body)), carriers)
+        self._rotation += 1
+        relays = [
+            _choose_relay(order, relay_index, self._rotation)
+            for order in fleet.far.values()
+        ]
+        self._send(encode(HandOn(body)), relays)
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Take a message of another gateway in."""
+        """Decode a message of another gateway and call its handler."""
         try:
-            told = decode(data)
-            if isinstance(told, HandOn):
-                self._send(told.body, self._fleet().near)
-                told = decode(told.body)
+            msg = decode(data)
+            if isinstance(msg, HandOn):
+                self._send(msg.body, self._fleet().near)
+                msg = decode(msg.body)
         except CodecError as exc:
             emit(DatagramUnreadable(str(addr), str(exc)))
             return
-        handler = self._handlers.get(type(told))
+        handler = self._handlers.get(type(msg))
         if handler is not None:
-            handler(told)
+            handler(msg)
 
     def error_received(self, exc: Exception) -> None:
-        """A peer that is down answers with an error; its lease will end."""
+        """Log the error that the host of a stopped peer returns.
+
+        Nothing else is needed: the peer is removed once its lease ends.
+        """
         emit(DatagramFailed(str(exc)))
 
     def _send(self, data: bytes, peers: Iterable[GatewayPeer]) -> None:
         if self._transport is None:
             return
-        for one in peers:
-            self._transport.sendto(data, _host_port(one.address))
+        for peer in peers:
+            self._transport.sendto(data, _host_port(peer.address))
 
 
-def _carrier(order: Sequence[GatewayPeer], lane: int, turn: int) -> GatewayPeer:
-    """Who hands a message on in a zone whose gateways relay in this ``order``."""
-    if lane == 0 or len(order) == 1:
+def _choose_relay(
+    order: Sequence[GatewayPeer], relay_index: int, rotation: int
+) -> GatewayPeer:
+    """Return which gateway of a zone forwards a message; ``order`` ranks its relays."""
+    if relay_index == 0 or len(order) == 1:
         return order[0]
-    return order[1 + turn % (len(order) - 1)]
+    return order[1 + rotation % (len(order) - 1)]
 
 
 def _host_port(address: str) -> tuple[str, int]:
--- a/gooseberrydale/connection/http_call.py
+++ b/gooseberrydale/connection/http_call.py
@@ -1,6 +1,6 @@
-"""One small call over a kept connection, with its whole answer.
+"""Makes one small HTTP call over a pooled connection and reads the complete response.
 
-Lives as long as the call.  For calls of the system itself, which may be repeated.
+It is meant for calls between processes of this system, which are safe to repeat.
 """
 
 from __future__ import annotations
@@ -23,7 +23,10 @@
     *,
     timeout_s: float,
 ) -> Reply:
-    """Make one call; raises :class:`UpstreamError` if no whole answer comes in time."""
+    """Make one call and return its response.
+
+    Raises :class:`UpstreamError` if no complete response arrives within ``timeout_s``.
+    """
     lines = [f"{method} {target} HTTP/1.1", f"host: {address}"]
     lines += [f"{name}: {value}" for name, value in headers]
     if body:
@@ -33,26 +36,28 @@
         async with asyncio.timeout(timeout_s):
             return await _call(pool, address, head, body)
     except TimeoutError as exc:
-        raise UpstreamError(f"no answer in {timeout_s:g} s", sent=True) from exc
+        raise UpstreamError(
+            f"no complete response within {timeout_s:g} s", sent=True
+        ) from exc
 
 
 async def _call(pool: HttpPool, address: str, head: bytes, body: bytes) -> Reply:
     conn = await pool.take(address, address, sure=False)
-    whole = False
+    complete = False
     try:
         conn.send(head, body)
-        answer = await conn.head(lambda _: True)
-        parts: list[bytes] = []
+        response = await conn.head(lambda _: True)
+        chunks: list[bytes] = []
         size = 0
         async for data in conn.body():
-            parts.append(data)
+            chunks.append(data)
             size += len(data)
             if size > MAX_REPLY_BYTES:
-                raise UpstreamError("an answer is too large", sent=True)
-        whole = True
-        return Reply(answer.status, b"".join(parts))
+                raise UpstreamError("the response exceeds MAX_REPLY_BYTES", sent=True)
+        complete = True
+        return Reply(response.status, b"".join(chunks))
     finally:
-        if whole:
+        if complete:
             pool.give_back(address, address, conn)
         else:
             pool.drop(address, address)
--- a/gooseberrydale/connection/http_conn.py
+++ b/gooseberrydale/connection/http_conn.py
@@ -1,9 +1,10 @@
-"""One kept HTTP/1.1 connection to an upstream, with one request on it at a time.
+"""A persistent HTTP/1.1 connection to an upstream, for one request at a time.
 
-Lives as long as the connection.  The other side is not trusted to keep to the form:
-an answer may come late, twice, without a length or before the request was read.  So a
-connection is used again only if its last answer was whole, everything sent was taken,
-and nothing arrived since.  The parsing is httptools'; nothing is ever sent twice.
+The upstream is not trusted to follow the protocol: a response may arrive late, twice,
+without a length or before the request has been read.  A connection is therefore reused
+only if its last response was complete, the whole request has been written to the
+socket, and nothing has arrived since.  httptools parses the responses.  No request is
+ever sent twice.
 """
 
 from __future__ import annotations
@@ -15,36 +16,37 @@
 
 import httptools
 
-from gooseberrydale.connection.tcp import bound_unacked, probe_when_idle
+from gooseberrydale.connection.tcp import enable_keepalive, set_unacked_timeout
 from gooseberrydale.connection.upstream_reply import UpstreamError
 from gooseberrydale.request.gateway_call import RawHeaders
 from gooseberrydale.request.silence_limit import SilenceLimit
 
 CONNECT_TIMEOUT_S = 0.3
-"""For a new connection: ten times a round trip and the handshake of a busy upstream,
-and short enough to try another upstream within the goal of most requests.  Only time in
-which this process could look counts: a connection that is granted while the loop stalls
-for longer is no sign of a dead upstream, whose streams would be cut."""
+"""Time limit for opening a connection.  It is ten times a round trip and the handshake
+of a busy upstream, and leaves time to try another upstream within the objective of most
+requests.  Only time in which the event loop runs counts: if the loop stalls for longer
+while the connection is established, the upstream must not be considered dead, because
+all its streams would be aborted."""
 
-UNTOLD_IDLE_S = 0.3
-"""An upstream that does not tell how long it keeps idle connections keeps them for
-less than a second, as the header counts whole ones."""
+DEFAULT_IDLE_S = 0.3
+"""Assumed idle time of an upstream that states none in its ``Keep-Alive`` header.  It
+may keep idle connections for less than a second: the header only has whole seconds."""
 
 IDLE_MARGIN_S = 0.4
-"""A connection is given up this long before its upstream would close it: the time that
-a request may be under way on a busy network."""
+"""Reuse of a connection ends this long before its upstream would close it: the time
+that a request may take to arrive on a busy network."""
 
 HIGH_WATER_BYTES = 256 * 1024
-"""Reading pauses while more than this is waiting for the caller."""
+"""Reading pauses while more body bytes than this are buffered for the caller."""
 
 MAX_HEAD_BYTES = 64 * 1024
-MAX_SKIPPED_ANSWERS = 4
-"""Answers to other requests that are passed over before the connection is given up."""
+MAX_SKIPPED_RESPONSES = 4
+"""How many responses to other requests are skipped before the connection fails."""
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseHead:
-    """Status and headers (names in lower case) of one answer."""
+    """Status and headers (names in lower case) of one response."""
 
     status: int
     headers: RawHeaders
@@ -52,64 +54,67 @@
 
 @dataclass(frozen=True, slots=True)
 class _End:
-    """The answer is whole."""
+    """Marks the end of a complete response."""
 
 
 _Item = ResponseHead | bytes | _End
 
 
 class HttpConn(asyncio.Protocol):
-    """``open`` it, then ``send``, ``head`` and ``body`` for each request."""
+    """A connection: ``open`` it once, then ``send``, ``head`` and ``body`` per request.
+
+    ``sent`` is True once a request has been written, so it may run on the upstream.
+    """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
         self._parser = httptools.HttpResponseParser(self)
         self._items: deque[_Item] = deque()
         self._buffered = 0
-        self._news = asyncio.Event()
+        self._wakeup = asyncio.Event()
         self._failure: str | None = None
         self._busy = False
-        self._dirty = False
+        self._unusable = False
         self._status = 0
         self._headers: list[tuple[bytes, bytes]] = []
         self._head_bytes = 0
         self._until_eof = False
         self._keep_alive = False
-        self._idle_s = UNTOLD_IDLE_S
+        self._idle_s = DEFAULT_IDLE_S
         self._idle_since = 0.0
         self.sent = False
 
     @classmethod
     async def open(cls, address: str) -> HttpConn:
-        """Connect; raises :class:`UpstreamError`, with nothing sent."""
+        """Connect; raises :class:`UpstreamError`, with ``sent`` False."""
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
             async with SilenceLimit(CONNECT_TIMEOUT_S):
                 _, conn = await loop.create_connection(cls, host, int(port))
         except TimeoutError as exc:
-            raise UpstreamError("no connection in time", sent=False) from exc
+            raise UpstreamError("connecting timed out", sent=False) from exc
         except (OSError, ValueError) as exc:
             refused = isinstance(exc, ConnectionRefusedError)
-            reason = f"no connection: {exc}"
+            reason = f"cannot connect: {exc}"
             raise UpstreamError(reason, sent=False, refused=refused) from exc
         return conn
 
-    # For the request.
+    # Calls of the request.
 
     def send(self, head: bytes, body: bytes) -> None:
-        """Send a request; it may run from now on."""
+        """Send a request; from now on the upstream may run it."""
         if self._transport is None or self._busy or self._closed:
-            raise UpstreamError("the connection is gone", sent=False)
+            raise UpstreamError("the connection is closed or in use", sent=False)
         self._busy = True
         self._parser = httptools.HttpResponseParser(self)
         self.sent = True
         self._transport.write(head + body if body else head)
 
     async def head(self, is_mine: Callable[[ResponseHead], bool]) -> ResponseHead:
-        """The head of the answer; answers that are not mine are passed over.
+        """Return the head of the response; skip responses that ``is_mine`` rejects.
 
-        Raises :class:`UpstreamError` if none comes.
+        Raises :class:`UpstreamError` if the connection fails before.
         """
         skipped = 0
         while True:
@@ -119,12 +124,17 @@
             if is_mine(item):
                 return item
             skipped += 1
-            self._dirty = True
-            if skipped > MAX_SKIPPED_ANSWERS:
-                raise UpstreamError("answers to other requests came", sent=True)
+            self._unusable = True
+            if skipped > MAX_SKIPPED_RESPONSES:
+                raise UpstreamError(
+                    "too many responses to other requests arrived", sent=True
+                )
 
     async def body(self) -> AsyncGenerator[bytes, None]:
-        """Yield the body as it arrives; raises :class:`UpstreamError` if it breaks."""
+        """Yield the body as it arrives.
+
+        Raises :class:`UpstreamError` if the connection fails before its end.
+        """
         while True:
             item = await self._next()
             if isinstance(item, _End):
@@ -133,14 +143,17 @@
             if isinstance(item, bytes):
                 yield item
 
-    def reusable(self, now: float, *, margin: float = 1.0) -> bool:
-        """Whether another request may be sent; ``margin`` scales the idle time."""
-        if self._busy or self._closed or self._dirty or not self._keep_alive:
+    def reusable(self, now: float, *, idle_fraction: float = 1.0) -> bool:
+        """Whether another request may be sent.
+
+        ``idle_fraction`` is the fraction of the idle time in which reuse is allowed.
+        """
+        if self._busy or self._closed or self._unusable or not self._keep_alive:
             return False
-        return now < self._idle_since + self._idle_s * margin
+        return now < self._idle_since + self._idle_s * idle_fraction
 
     def abort(self) -> None:
-        """Break the connection, which cancels work that is not finished."""
+        """Reset the connection, which makes the upstream cancel unfinished work."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -149,32 +162,32 @@
         return self._failure is not None
 
     def _finish(self) -> None:
-        """The answer is whole; note whether the connection may be used again."""
+        """Record the end of a response and whether the connection can be reused."""
         transport = self._transport
         self._busy = False
         self._idle_since = asyncio.get_running_loop().time()
         if transport is None or transport.get_write_buffer_size():
-            # The rest of the request is still under way.
-            self._dirty = True
+            # The rest of the request is still in the write buffer.
+            self._unusable = True
         if self._items:
-            self._dirty = True
+            self._unusable = True
 
     async def _next(self) -> _Item:
         while not self._items:
             if self._failure is not None:
                 raise UpstreamError(self._failure, sent=self.sent)
-            self._news.clear()
-            await self._news.wait()
+            self._wakeup.clear()
+            await self._wakeup.wait()
         item = self._items.popleft()
         if isinstance(item, bytes):
-            self._take(-len(item))
+            self._add_buffered(-len(item))
         return item
 
     def _put(self, item: _Item) -> None:
         self._items.append(item)
-        self._news.set()
+        self._wakeup.set()
 
-    def _take(self, size: int) -> None:
+    def _add_buffered(self, size: int) -> None:
         before = self._buffered
         self._buffered += size
         if self._transport is None or self._transport.is_closing():
@@ -187,91 +200,91 @@
     def _fail(self, reason: str) -> None:
         if self._failure is None:
             self._failure = reason
-        self._news.set()
+        self._wakeup.set()
 
-    # What asyncio calls.
+    # Callbacks of asyncio.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Prepare the socket."""
+        """Set the options of the connected socket."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         sock = transport.get_extra_info("socket")
-        probe_when_idle(sock)
-        bound_unacked(sock)
+        enable_keepalive(sock)
+        set_unacked_timeout(sock)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrives; bytes that nobody waits for spoil the connection."""
+        """Parse received bytes; abort the connection if no request is open."""
         if not self._busy:
-            self._dirty = True
+            self._unusable = True
             self.abort()
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
-            self._dirty = True
-            self._fail(f"no HTTP: {type(exc).__name__}")
+            self._unusable = True
+            self._fail(f"invalid HTTP response: {type(exc).__name__}")
             self.abort()
 
     def eof_received(self) -> bool:
-        """The upstream sends no more; a body without a length ends with that."""
+        """Handle the end of the stream, which also ends a body without a length."""
         if self._busy and self._until_eof and self._failure is None:
             self._keep_alive = False
             self._put(_End())
-        self._fail("the connection was closed")
+        self._fail("the upstream closed the connection")
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Whoever waits learns of it."""
-        reason = "the connection was closed" if exc is None else f"reset: {exc}"
+        """Let the waiting request fail."""
+        reason = "the connection closed" if exc is None else f"connection lost: {exc}"
         self._fail(reason)
         self._transport = None
 
-    # What the parser calls.
+    # Callbacks of the parser.
 
     def on_message_begin(self) -> None:
-        """An answer begins."""
+        """Reset the state for a new response."""
         self._headers = []
         self._head_bytes = 0
         self._until_eof = False
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """One header of the answer."""
+        """Store one header of the response."""
         self._head_bytes += len(name) + len(value)
         if self._head_bytes > MAX_HEAD_BYTES:
-            raise ValueError("the head of an answer is too large")
+            raise ValueError("the response head exceeds MAX_HEAD_BYTES")
         self._headers.append((name.lower(), value.strip(b" \t")))
 
     def on_headers_complete(self) -> None:
-        """The head is whole; interim answers are passed over."""
+        """Queue the complete head, but not that of an interim (1xx) response."""
         status = self._parser.get_status_code()
         self._status = status
         if status < 200:
             return
         self._keep_alive = self._parser.should_keep_alive()
-        found = dict(self._headers)
+        fields = dict(self._headers)
         self._until_eof = (
-            b"content-length" not in found
-            and b"transfer-encoding" not in found
+            b"content-length" not in fields
+            and b"transfer-encoding" not in fields
             and status not in (204, 304)
         )
-        self._idle_s = _idle_s(found.get(b"keep-alive", b""))
+        self._idle_s = _idle_s(fields.get(b"keep-alive", b""))
         self._put(ResponseHead(status, tuple(self._headers)))
 
     def on_body(self, data: bytes) -> None:
-        """A part of the body."""
+        """Queue a section of the body."""
         self._put(data)
-        self._take(len(data))
+        self._add_buffered(len(data))
 
     def on_message_complete(self) -> None:
-        """The answer is whole."""
+        """Queue the end of the response, unless it is an interim one."""
         if self._status >= 200:
             self._put(_End())
 
 
 def _idle_s(keep_alive: bytes) -> float:
-    """How long the connection may stay idle, from the header's ``timeout=N``."""
+    """Return how long the connection may stay idle, by ``timeout=N`` of the header."""
     for part in keep_alive.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
-            return max(UNTOLD_IDLE_S, int(value) - IDLE_MARGIN_S)
-    return UNTOLD_IDLE_S
+            return max(DEFAULT_IDLE_S, int(value) - IDLE_MARGIN_S)
+    return DEFAULT_IDLE_S
--- a/gooseberrydale/connection/http_pool.py
+++ b/gooseberrydale/connection/http_pool.py
@@ -1,7 +1,7 @@
-"""Kept connections to upstreams, by address and incarnation.
+"""Pool of persistent HTTP connections to upstreams, by address and incarnation.
 
-Lives as long as the process.  A connection serves one request at a time; whoever takes
-it gives it back or breaks it.
+There is one pool per process.  A connection serves one request at a time.  Its user
+either releases it into the pool, or discards and aborts it.
 """
 
 from __future__ import annotations
@@ -13,26 +13,28 @@
 from gooseberrydale.connection.http_conn import HttpConn
 from gooseberrydale.connection.upstream_reply import UpstreamError
 
-SURE_MARGIN = 0.5
-"""A request that must not be sent twice uses a connection only in the first half of
-its idle time: one that closes under the request would leave its outcome unknown."""
+MUST_NOT_RESEND_IDLE_FRACTION = 0.5
+"""A request that must not be sent twice uses an idle connection only in the first half
+of its idle time.  If the upstream closed the connection just as the request is sent,
+the outcome of the request would be unknown."""
 
-KEPT_PER_UPSTREAM = 16
-"""Idle connections kept to one upstream; more than the requests that one entry sends
-it at once, a small part of the connections that it accepts."""
+MAX_IDLE_PER_UPSTREAM = 16
+"""Most idle connections to one upstream.  The bound exceeds the number of requests that
+one entry sends it concurrently, and is a small fraction of the connections that the
+upstream accepts."""
 
 Key = tuple[str, str]
 
 
 class ConnectionsTakenError(UpstreamError):
-    """As many connections as allowed are in use; the upstream itself may be well."""
+    """All allowed connections are in use; the upstream itself may be healthy."""
 
     def __init__(self, bound: int) -> None:
-        super().__init__(f"all {bound} connections are in use", sent=False)
+        super().__init__(f"all {bound} allowed connections are in use", sent=False)
 
 
 class HttpPool:
-    """Idle connections; the one used last goes out first."""
+    """Idle connections; the most recently used one is reused first."""
 
     def __init__(self) -> None:
         self._idle: dict[Key, deque[HttpConn]] = {}
@@ -41,12 +43,12 @@
     async def take(
         self, address: str, instance: str, *, sure: bool, bound: int | None = None
     ) -> HttpConn:
-        """A connection to one incarnation of an upstream, kept or new.
+        """Return a connection to one incarnation of an upstream, idle or new.
 
-        ``sure`` asks for one that will hardly close under the request.  At most
-        ``bound`` connections are open, idle ones included.  Whoever takes one calls
-        ``give_back`` or ``drop`` once.  Raises :class:`UpstreamError`, with nothing
-        sent.
+        With ``sure`` set, an idle connection is used only if the upstream is
+        unlikely to close it during the request.  At most ``bound`` connections are
+        open, idle ones included.  The caller must call ``give_back`` or ``drop``
+        exactly once.  Raises :class:`UpstreamError`; nothing has been sent then.
         """
         key = address, instance
         if bound is not None and self._in_use[key] >= bound:
@@ -55,16 +57,16 @@
         try:
             return self._reuse(key, sure) or await HttpConn.open(address)
         except BaseException:
-            self._release(key)
+            self._decrement_in_use(key)
             raise
 
     def _reuse(self, key: Key, sure: bool) -> HttpConn | None:
-        margin = SURE_MARGIN if sure else 1.0
+        idle_fraction = MUST_NOT_RESEND_IDLE_FRACTION if sure else 1.0
         now = asyncio.get_running_loop().time()
         idle = self._idle.get(key)
         while idle:
             conn = idle.pop()
-            if conn.reusable(now, margin=margin):
+            if conn.reusable(now, idle_fraction=idle_fraction):
                 conn.sent = False
                 return conn
             conn.abort()
@@ -73,45 +75,45 @@
     def give_back(
         self, address: str, instance: str, conn: HttpConn, bound: int | None = None
     ) -> None:
-        """Keep a connection for the next request, if it may be used again."""
+        """Return a connection to the pool, or abort it if it can't be reused."""
         key = address, instance
-        self._release(key)
+        self._decrement_in_use(key)
         now = asyncio.get_running_loop().time()
         if not conn.reusable(now):
             conn.abort()
             return
         idle = self._idle.setdefault(key, deque())
         idle.append(conn)
-        kept = KEPT_PER_UPSTREAM
+        retained = MAX_IDLE_PER_UPSTREAM
         if bound is not None:
-            kept = min(kept, max(0, bound - self._in_use[key]))
-        while len(idle) > kept:
+            retained = min(retained, max(0, bound - self._in_use[key]))
+        while len(idle) > retained:
             idle.popleft().abort()
 
     def drop(self, address: str, instance: str) -> None:
-        """A connection that was taken is not kept; who took it breaks it."""
-        self._release((address, instance))
+        """Stop counting an acquired connection, which the caller aborts itself."""
+        self._decrement_in_use((address, instance))
 
-    def _release(self, key: Key) -> None:
+    def _decrement_in_use(self, key: Key) -> None:
         self._in_use[key] -= 1
         if self._in_use[key] <= 0:
             del self._in_use[key]
 
     def sweep(self, instances: Iterable[str]) -> None:
-        """Close connections that idled too long, or whose upstream is not listed."""
+        """Abort connections that idled too long or whose instance is not listed."""
         now = asyncio.get_running_loop().time()
         known = set(instances)
         for key, idle in list(self._idle.items()):
-            kept = [c for c in idle if c.reusable(now) and key[1] in known]
+            retained = [c for c in idle if c.reusable(now) and key[1] in known]
             for conn in idle:
-                if conn not in kept:
+                if conn not in retained:
                     conn.abort()
-            self._idle[key] = deque(kept)
-            if not kept:
+            self._idle[key] = deque(retained)
+            if not retained:
                 del self._idle[key]
 
     def close(self) -> None:
-        """Break all idle connections."""
+        """Abort all idle connections."""
         for idle in self._idle.values():
             for conn in idle:
                 conn.abort()
--- a/gooseberrydale/connection/limit_gossip.py
+++ b/gooseberrydale/connection/limit_gossip.py
@@ -1,7 +1,7 @@
-"""Reports to all gateways what limits upstreams name, by datagrams.
+"""Reports the rate limits that upstreams state to all gateways, by datagrams.
 
-Lives as long as the process.  What is reported is decided in
-``version/upstream_limits.py``; a lost report is made up for by the next one.
+There is one :class:`LimitGossip` per process.  ``version/upstream_limits.py`` decides
+what is reported; the next report makes up for one that is lost.
 """
 
 from __future__ import annotations
@@ -12,32 +12,34 @@
 from gooseberrydale.version.upstream_limits import LimitReport, UpstreamLimits
 
 LOOK_S = 0.1
+"""Interval between two checks whether a report is due."""
 
-LANES = 2
-"""Reports alternate between relays, so that one that is gone doesn't keep them."""
+RELAYS_PER_ZONE = 2
+"""How many relays of a zone take turns in forwarding the reports: one relay that has
+failed then doesn't block all of them."""
 
 
 class LimitGossip:
-    """One task that reports; what other gateways report goes to ``limits``."""
+    """Sends the reports that ``limits`` makes and merges those of other gateways."""
 
     def __init__(self, datagrams: GatewayDatagrams, limits: UpstreamLimits) -> None:
         self._datagrams = datagrams
         self._limits = limits
-        self._lane = 0
+        self._relay_index = 0
         self._task: asyncio.Task[None] | None = None
-        datagrams.on(LimitReport, self._hear)
+        datagrams.on(LimitReport, self._receive)
 
     async def start(self) -> None:
-        """Begin to report; the socket is open."""
+        """Start to send reports; the socket must be open."""
         self._task = asyncio.create_task(self._repeat())
 
     async def close(self) -> None:
-        """Stop reporting."""
+        """Stop sending reports."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
-    def _hear(self, report: LimitReport) -> None:
+    def _receive(self, report: LimitReport) -> None:
         self._limits.take(report, asyncio.get_running_loop().time())
 
     async def _repeat(self) -> None:
@@ -46,5 +48,5 @@
             await asyncio.sleep(LOOK_S)
             report = self._limits.due(loop.time())
             if report is not None:
-                self._lane = (self._lane + 1) % LANES
-                self._datagrams.spread(report, self._lane)
+                self._relay_index = (self._relay_index + 1) % RELAYS_PER_ZONE
+                self._datagrams.spread(report, self._relay_index)
--- a/gooseberrydale/connection/mesh.py
+++ b/gooseberrydale/connection/mesh.py
@@ -1,13 +1,13 @@
-"""Messages of the mesh: how processes learn of each other and of the configuration.
+"""Messages of the mesh, which distributes announcements and the configuration.
 
-Entries and control replicas serve sessions; sidecars and entries open them.  A
-session is one long-lived gRPC stream in each direction.  Both sides send what the
-other lacks: announcements of upstreams, and configurations of higher revision.
+Entries and control replicas serve sessions; sidecars and entries open them.  A session
+is one long-lived gRPC stream in each direction.  Each side sends what the other lacks:
+announcements of upstreams, and configurations of a higher revision.
 
-``sent_at`` is the sender's loop clock when the message was made.  ``echo_at`` is
-what the receiver's loop clock showed then at least: the last ``sent_at`` that the
-sender has heard in this session, plus the time since (None before the first).
-Together they bound how long a message was under way.
+``sent_at`` is the sender's loop clock when the message was created.  ``echo_at`` is a
+lower bound of what the receiver's loop clock showed at that moment: the last
+``sent_at`` that the sender has received in this session, plus the time since then (None
+before the first).  Together they bound the age of a message.
 """
 
 from __future__ import annotations
@@ -29,15 +29,17 @@
 @message
 @dataclass(frozen=True, slots=True)
 class UpstreamRecord:
-    """What an upstream's sidecar announces of itself.
+    """The announcement of an upstream, usually sent by its sidecar.
 
-    ``incarnation`` names one incarnation of the sidecar and sorts by its start;
-    ``seq`` rises with each announcement in that incarnation.  ``upstream_incarnation``
+    ``incarnation`` names one incarnation of the sidecar; names sort by start time.
+    ``seq`` rises with each announcement of that incarnation.  ``upstream_incarnation``
     names one incarnation of the upstream.  ``address`` is the sidecar's gRPC listener.
-    ``lease_s`` is what was left of the lease when the record was sent, in seconds.
+    ``lease_s`` is the rest of the lease at the time of sending, in seconds.
+
     An upstream without a sidecar announces itself: ``name`` then names one incarnation
-    of it, ``address`` is its own, and ``slots`` is how many requests it runs at once. A
-    gateway tells ``link_mbps`` of its node, 0 if that is not known.
+    of the upstream, ``address`` is its own listener, and ``slots`` is how many requests
+    it runs concurrently.  A gateway states the link rate of its node in ``link_mbps``,
+    0 if unknown.
     """
 
     name: str
@@ -59,13 +61,12 @@
 
 
 class EndedIncarnation(msgspec.Struct, frozen=True, array_like=True):
-    """An incarnation of an upstream that has ended, and by fingerprint what it ran
-    then.
+    """An ended incarnation of an upstream, with fingerprints of the requests it ran.
 
-    No part of the answers to those ``waiting`` had come, of those ``answering`` some
-    had.  Those ``cleared`` are known not to end upstreams.  It ended ``age_s`` seconds
-    before the message was made.  Without field names on the wire, as a process that
-    starts hears of many.
+    ``waiting`` are requests to which no part of an answer had arrived, ``answering``
+    those with a part of one.  ``cleared`` are requests that are known not to end
+    upstreams.  The incarnation ended ``age_s`` seconds before the message was created.
+    It is encoded without field names, since a starting process receives many of these.
     """
 
     incarnation: str
@@ -76,11 +77,11 @@
 
 
 class Renewal(msgspec.Struct, frozen=True, array_like=True):
-    """A record that the other side has got in this session, with a later lease.
+    """Renews the lease of a record that was sent in full before in this session.
 
-    ``incarnation`` is the checksum of the record's own.  A renewal takes some 50 bytes
-    in place of 300, and most of what a replica with hundreds of sessions sends is
-    renewals.
+    ``incarnation`` is the checksum of the record's incarnation.  A renewal takes some
+    50 bytes instead of 300, and renewals are most of what a replica with hundreds of
+    sessions sends.
     """
 
     name: str
@@ -90,22 +91,22 @@
 
     @classmethod
     def of(cls, record: UpstreamRecord) -> Renewal:
-        """The renewal that stands for ``record``."""
-        check = incarnation_check(record.incarnation)
-        return cls(record.name, check, record.seq, round(record.lease_s, 3))
+        """Return the renewal that replaces ``record``."""
+        checksum = incarnation_check(record.incarnation)
+        return cls(record.name, checksum, record.seq, round(record.lease_s, 3))
 
 
 def incarnation_check(incarnation: str) -> int:
-    """A short form of an incarnation, enough to notice that it is another one."""
+    """Return a checksum that reveals whether two incarnations differ."""
     return zlib.crc32(incarnation.encode())
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """Opens a session: who speaks, and the revision in force there.
+    """Opens a session: the identity and the current revision of the sender.
 
-    ``takes_renewals`` is False in releases that know whole records alone.
+    ``takes_renewals`` is False in releases that accept only full records.
     """
 
     role: str
@@ -121,8 +122,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """Records that are new or changed, those ``renewed``, and ``ended``
-    incarnations."""
+    """New or changed ``records``, ``renewed`` leases and ``ended`` incarnations."""
 
     records: tuple[UpstreamRecord, ...]
     sent_at: float = 0.0
@@ -134,13 +134,13 @@
 @message
 @dataclass(frozen=True, slots=True)
 class RecordsWanted:
-    """Asks for all records whole, since one that was renewed is not known."""
+    """Asks for all records in full: a renewal matched no record of the sender."""
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class ConfigWanted:
-    """Asks for the configuration, since the other side told a higher revision."""
+    """Asks for the configuration: the other side has reported a higher revision."""
 
     above_revision: int
 
@@ -148,7 +148,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ConfigOffer:
-    """A configuration that the other side may lack."""
+    """Sends a configuration that the other side may lack."""
 
     config: Config
 
@@ -156,7 +156,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class RevisionAck:
-    """The revision in force at the sender; also the session's heartbeat."""
+    """Reports the current revision of the sender; also the heartbeat of a session."""
 
     name: str
     revision: int
--- a/gooseberrydale/connection/mesh_client.py
+++ b/gooseberrydale/connection/mesh_client.py
@@ -1,8 +1,8 @@
-"""Keeps one mesh session to one address open for good.
+"""Keeps a mesh session to one address open as long as the process runs.
 
-Lives as long as the process.  Each try uses a channel of its own, so whatever a
-path in between has lost track of is left behind; a silent session is replaced in
-the same way while the sessions to other addresses go on.
+Each attempt uses a new gRPC channel.  This leaves behind a connection whose state a
+device on the network path has dropped.  A silent session is replaced in the same way;
+sessions to other addresses are not affected.
 """
 
 from __future__ import annotations
@@ -22,9 +22,9 @@
 
 
 class MeshClient:
-    """Opens a session to ``address`` again and again; ``close`` stops that.
+    """Opens a session to ``address`` and reopens it whenever it ends.
 
-    It stops by itself if the address turns out to be this very process.
+    ``close`` stops this.  It also stops if the address belongs to this process itself.
     """
 
     def __init__(
@@ -48,13 +48,13 @@
 
     @property
     def connected(self) -> bool:
-        """Whether the peer was heard on the session that is open now."""
+        """Whether the peer has sent its Hello on the open session."""
         return self._session is not None and self._session.peer is not None
 
     async def start(self) -> None:
-        """Begin to connect; does not wait for the session."""
+        """Start to connect, without waiting for the session."""
         self._task = asyncio.create_task(self._keep_open())
-        self._task.add_done_callback(_report)
+        self._task.add_done_callback(_report_exception)
 
     async def close(self) -> None:
         """End the session and stop connecting."""
@@ -66,13 +66,13 @@
     async def _keep_open(self) -> None:
         while True:
             session = MeshSession(self._node, opens=True)
-            end = await self._try(session)
-            if self._is_self(session):
+            end = await self._run_session(session)
+            if self._is_to_self(session):
                 return
-            self._adapt(session, end)
+            self._adjust_timings(session, end)
             await asyncio.sleep(self._backoff.next_s())
 
-    async def _try(self, session: MeshSession) -> SessionEnd:
+    async def _run_session(self, session: MeshSession) -> SessionEnd:
         if self._failed and not await self._reachable():
             return SessionEnd.ENDED
         channel = RpcChannel(self.address, self._token, self._tls)
@@ -83,23 +83,25 @@
         except grpc.aio.AioRpcError as exc:
             self._log_failure(exc)
         except ProblemError as exc:
-            logger.warning("mesh session to {} refused: {}", self.address, exc)
+            logger.warning("mesh session to {} failed: {}", self.address, exc)
         finally:
             self._session = None
             await channel.close()
         return SessionEnd.ENDED
 
     def _log_failure(self, exc: grpc.aio.AioRpcError) -> None:
-        """Log at a level that suits the cause; absent peers are ordinary."""
+        """Log a wrong fleet token as an error and an absent peer only for debugging."""
         refused = exc.code() is grpc.StatusCode.UNAUTHENTICATED
         if refused and not self._failed:
             remedy = problem(WRONG_FLEET_TOKEN).message
             logger.error("mesh session to {} refused: {}", self.address, remedy)
         else:
-            logger.debug("no mesh session to {}: {}", self.address, exc.details())
+            logger.debug(
+                "cannot open mesh session to {}: {}", self.address, exc.details()
+            )
 
     async def _reachable(self) -> bool:
-        """Whether anyone listens there: far cheaper to ask than with a channel."""
+        """Whether a process listens at the address; far cheaper than a channel."""
         host, _, port = self.address.rpartition(":")
         try:
             async with asyncio.timeout(self._open_s):
@@ -109,15 +111,15 @@
         writer.close()
         return True
 
-    def _is_self(self, session: MeshSession) -> bool:
+    def _is_to_self(self, session: MeshSession) -> bool:
         own = self._node.identity.incarnation
         return session.peer is not None and session.peer.incarnation == own
 
-    def _adapt(self, session: MeshSession, end: SessionEnd) -> None:
-        """Let the backoff and the time to open follow from how the try went."""
+    def _adjust_timings(self, session: MeshSession, end: SessionEnd) -> None:
+        """Adjust the backoff and the time limit for opening to the last attempt."""
         timings = self._node.timings
         self._failed = session.peer is None
-        lasted_s = session.heard_at - session.opened_at
+        lasted_s = session.received_at - session.opened_at
         if lasted_s >= timings.stable_s:
             self._backoff.reset()
         if session.peer is not None:
@@ -127,10 +129,13 @@
             self._open_s = min(self._open_s * 2, timings.open_max_s)
 
 
-def _report(task: asyncio.Task[None]) -> None:
-    """Hand a fault of the program itself to the loop's handler."""
+def _report_exception(task: asyncio.Task[None]) -> None:
+    """Pass an unexpected exception to the exception handler of the event loop."""
     if task.cancelled() or task.exception() is None:
         return
     asyncio.get_running_loop().call_exception_handler(
-        {"message": "mesh client stopped", "exception": task.exception()}
+        {
+            "message": "mesh client stopped by an unexpected error",
+            "exception": task.exception(),
+        }
     )
--- a/gooseberrydale/connection/mesh_node.py
+++ b/gooseberrydale/connection/mesh_node.py
@@ -1,8 +1,7 @@
-"""What all mesh sessions of one process share.
+"""State that all mesh sessions of one process share.
 
-Lives as long as the process: its identity, the directory, the configuration
-store, what was last heard of each peer, and the one pull of a configuration that
-may be under way.
+This is the identity of the process, the directory, the configuration store, the last
+report of each peer, and the request for a configuration that is pending, if any.
 """
 
 from __future__ import annotations
@@ -20,13 +19,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MeshTimings:
-    """Times of the mesh in seconds.
-
-    ``gather_s`` and ``renewal_gather_s`` are how long changed and renewed records
-    wait for others to share a message with.  A session is replaced after
-    ``silence_s`` without a message; one that is being opened gets ``open_s``,
-    doubled after each failure up to ``open_max_s``, so that a server that is slow
-    because of many openings is not burdened with ever more of them.  A session
+    """Timings of the mesh in seconds.
+
+    ``gather_s`` and ``renewal_gather_s`` are how long changed and renewed records wait
+    for others to share a message with.  A session is replaced after ``silence_s``
+    without a message.  The first message must arrive within ``open_s``; this limit
+    doubles after each failure up to ``open_max_s``, which limits the load on a server
+    that is slow because many sessions are being opened.  ``pull_s`` is how long a
+    requested configuration may take to arrive before it is requested again.  A session
     that lasted ``stable_s`` resets the backoff.
     """
 
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Identity:
-    """Who this process is, as told in each Hello."""
+    """The identity of this process, as sent in each Hello."""
 
     role: str
     name: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerState:
-    """The last that was heard of a process: its revision, and when (loop clock)."""
+    """The last report of a process: its revision, and when it arrived (loop clock)."""
 
     role: str
     name: str
@@ -68,23 +68,23 @@
 
 
 class Session(Protocol):
-    """What the node asks of an open session."""
+    """Interface of an open session for the node."""
 
     def records_changed(self, urgent: bool) -> None:
-        """The directory took a record in."""
+        """Schedule a message, since a record of the directory has changed."""
 
     def config_changed(self) -> None:
-        """A higher revision is in force."""
+        """Schedule a message, since the configuration has a higher revision."""
 
     def incarnations_ended(self) -> None:
-        """There is news of incarnations of upstreams that ended."""
+        """Schedule a message, since incarnations of upstreams have ended."""
 
     def close(self) -> None:
-        """End the session soon."""
+        """End the session, without waiting for it."""
 
 
 class MeshNode:
-    """Shared state of the sessions; start it before they open."""
+    """Shared state of the sessions; call ``start`` before opening sessions."""
 
     def __init__(
         self,
@@ -107,39 +107,39 @@
         self.control_heard_at = 0.0
         self._on_ack = on_ack
         self._sessions: dict[Session, PeerState | None] = {}
-        self._pull_until = 0.0
+        self._pull_expires_at = 0.0
         self._pulled_revision = 0
         self._unsubscribe: tuple[Callable[[], None], ...] = ()
-        self._watch: asyncio.Task[None] | None = None
+        self._config_watcher: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Begin to tell sessions of changes."""
+        """Start to notify sessions of changes."""
         self._unsubscribe = (
             self.directory.subscribe(self._records_changed),
             self.ended_incarnations.subscribe(self._incarnations_ended),
         )
-        self._watch = asyncio.create_task(self._watch_config())
+        self._config_watcher = asyncio.create_task(self._watch_config())
 
     async def close(self) -> None:
-        """Ask all sessions to end and stop telling them of changes."""
+        """Stop notifying sessions of changes and let all of them end."""
         for unsubscribe in self._unsubscribe:
             unsubscribe()
         self._unsubscribe = ()
-        if self._watch is not None:
-            self._watch.cancel()
-            await asyncio.gather(self._watch, return_exceptions=True)
-            self._watch = None
+        if self._config_watcher is not None:
+            self._config_watcher.cancel()
+            await asyncio.gather(self._config_watcher, return_exceptions=True)
+            self._config_watcher = None
         for session in tuple(self._sessions):
             session.close()
 
     def hello(self, now: float, echo_at: float | None) -> Hello:
-        """The message that opens a session from this side."""
-        me = self.identity
+        """Return the message that opens a session on this side."""
+        identity = self.identity
         return Hello(
-            role=me.role,
-            name=me.name,
-            incarnation=me.incarnation,
-            zone=me.zone,
+            role=identity.role,
+            name=identity.name,
+            incarnation=identity.incarnation,
+            zone=identity.zone,
             cfg_revision=self.store.revision,
             sent_at=now,
             echo_at=echo_at,
@@ -147,15 +147,17 @@
         )
 
     def opened(self, session: Session) -> None:
-        """Count ``session`` in."""
+        """Add a session that has opened."""
         self._sessions[session] = None
 
     def ended(self, session: Session) -> None:
-        """Count ``session`` out."""
+        """Remove a session that has ended."""
         self._sessions.pop(session, None)
 
-    def heard(self, session: Session, hello: Hello, revision: int, now: float) -> None:
-        """Note that the peer of ``session`` has ``revision`` in force."""
+    def record_revision(
+        self, session: Session, hello: Hello, revision: int, now: float
+    ) -> None:
+        """Record that ``revision`` is current at the peer of ``session``."""
         peer = PeerState(
             role=hello.role,
             name=hello.name,
@@ -173,21 +175,21 @@
             self._on_ack(peer)
 
     def peers(self) -> tuple[PeerState, ...]:
-        """Peers of the open sessions; one with two sessions comes twice."""
+        """Return the peers of the open sessions, once per session."""
         return tuple(peer for peer in self._sessions.values() if peer is not None)
 
     def claim_pull(self, revision: int, now: float) -> float | None:
-        """Let one session at a time ask for a configuration.
+        """Let one session at a time request a configuration.
 
-        Return None if the caller shall ask now for ``revision``, else the time at
-        which it may try again.  With many sessions open, a new revision then
-        crosses the network once.
+        Return None if the caller is to request ``revision`` now, else the time at which
+        it may call again.  However many sessions are open, a new revision is then sent
+        once.
         """
         pending = self._pulled_revision > self.store.revision
-        if pending and now < self._pull_until:
-            return self._pull_until
+        if pending and now < self._pull_expires_at:
+            return self._pull_expires_at
         self._pulled_revision = revision
-        self._pull_until = now + self.timings.pull_s
+        self._pull_expires_at = now + self.timings.pull_s
         return None
 
     def _records_changed(self, urgent: bool) -> None:
--- a/gooseberrydale/connection/mesh_server.py
+++ b/gooseberrydale/connection/mesh_server.py
@@ -1,4 +1,4 @@
-"""Serves mesh sessions to whoever connects; lives as long as the process."""
+"""Serves the mesh sessions that other processes open to this one."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MeshServer:
-    """The serving side of sessions of an entry or a control replica."""
+    """The server of mesh sessions in an entry or a control replica."""
 
     def __init__(self, node: MeshNode) -> None:
         self._node = node
@@ -27,7 +27,7 @@
         rpc_server.streaming(MESH_SESSION, self._serve)
 
     def close(self) -> None:
-        """End all sessions soon and end new ones at once."""
+        """End all sessions, without waiting for them, and refuse new ones."""
         self._closed = True
         for session in tuple(self._sessions):
             session.close()
@@ -53,4 +53,4 @@
         try:
             await session.run(incoming, self._node.timings.silence_s)
         except ProblemError as exc:
-            logger.warning("mesh session refused: {}", exc)
+            logger.warning("incoming mesh session failed: {}", exc)
--- a/gooseberrydale/connection/messages.py
+++ b/gooseberrydale/connection/messages.py
@@ -1,9 +1,9 @@
-"""Messages between entries and sidecars, on the path of a request.
+"""Messages that entries and sidecars exchange to run a request.
 
-One dispatch is one gRPC call from an entry to a sidecar: a :class:`DispatchReq`
-goes out, a stream of the frames below comes back.  ``request_id``, ``attempt`` and
-``incarnation`` name one try of one request; whatever carries another triple is
-dropped.  Offsets count events of the answer, from 0.
+A dispatch is one gRPC call from an entry to a sidecar: the entry sends a
+:class:`DispatchReq` and receives a stream of :data:`Frame` messages.  ``request_id``,
+``attempt`` and ``incarnation`` together identify one attempt; frames with other values
+are dropped.  Offsets count the events of the answer, from 0.
 """
 
 from __future__ import annotations
@@ -18,10 +18,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Piece:
-    """A stretch of a prompt: hash chained over all before it, and its tokens.
+    """A section of a prompt, for prefix matching.
 
-    ``chain`` is rootless; the cache key is derived from it with the root of
-    workspace, model and weights version.
+    ``chain`` is a hash over this piece and all pieces before it; ``tokens`` is the
+    token count of this piece.  The hash contains no root: the cache key is derived from
+    it and the root of the workspace, model and weights version.
     """
 
     chain: bytes
@@ -31,10 +32,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What a sidecar knows of its upstream's load at one instant.
+    """The load of an upstream at one moment, as its sidecar has recorded it.
 
-    ``queue_s`` is the expected wait of a new request in seconds, ``prefill_tps``
-    the measured prefill rate in tokens a second.
+    ``queue_s`` is the expected wait of a new request in seconds, ``prefill_tps`` the
+    measured prefill rate in tokens a second.
     """
 
     running: int = 0
@@ -47,13 +48,13 @@
 @message
 @dataclass(frozen=True, slots=True)
 class DispatchReq:
-    """One try of one request, addressed to one incarnation of a sidecar.
+    """Dispatches one attempt of a request to one incarnation of a sidecar.
 
-    ``deadline_s`` is the time left to the first token when the message was sent.
-    ``emitted`` is the answer text that the caller has already got when a stream is
-    resumed on another upstream; ``first_offset`` is the offset of the next event.
-    ``record_seq`` is the ``seq`` of the announcement that the dispatch is based on
-    (0: not stated); a sidecar refuses a dispatch that is based on a long gone one.
+    ``deadline_s`` is the time left until the first token is due, as of sending.  For a
+    stream that is resumed on another upstream, ``emitted`` is the answer text that the
+    caller has already received and ``first_offset`` the offset of the next event.
+    ``record_seq`` is the ``seq`` of the announcement that the dispatch is based on (0:
+    not stated); a sidecar refuses a dispatch that is based on a long outdated one.
     """
 
     request_id: str
@@ -79,9 +80,9 @@
 @message
 @dataclass(frozen=True, slots=True)
 class AttachReq:
-    """Ask for a running or kept stream again, from ``offset`` on.
+    """Reattaches to a running or retained stream, from ``offset`` on.
 
-    ``attempt`` is -1 if it is not known; then the latest one is meant.
+    If ``attempt`` is -1, the sidecar takes the latest attempt of the request.
     """
 
     request_id: str
@@ -94,11 +95,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class CancelReq:
-    """Give up an attempt: stop it if it runs, refuse it if it comes later.
+    """Cancels an attempt: stops it if it runs, bars it if its dispatch arrives later.
 
-    ``record_seq`` is the one that its dispatch states (0: not stated).  Without it a
-    sidecar that has been up for long can't tell an attempt that never came from one
-    that ran long ago.
+    ``record_seq`` is the one stated in the dispatch of the attempt (0: not stated).
+    Without it, a sidecar that has run for a long time can't distinguish an attempt that
+    was never dispatched from one that ran long ago.
     """
 
     request_id: str
@@ -111,7 +112,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class CancelReply:
-    """``not_run`` is True once the attempt can never start any more."""
+    """Reply to a :class:`CancelReq`.
+
+    ``not_run`` is True if the attempt has not run and can never start.
+    """
 
     not_run: bool
     problem: Problem | None = None
@@ -120,7 +124,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The sidecar has taken the attempt; ``cached_tokens`` it found cached."""
+    """The sidecar has accepted the attempt.
+
+    ``status`` and ``headers`` are those of the answer.  ``cached_tokens`` counts the
+    prompt tokens that were already in the cache.
+    """
 
     request_id: str
     attempt: int
@@ -136,7 +144,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The sidecar did not take the attempt, or it ended before any answer."""
+    """The sidecar refused the attempt, or the attempt ended before any answer."""
 
     request_id: str
     attempt: int
@@ -149,9 +157,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Chunk:
-    """Events of the answer from ``offset`` on; one event is one SSE data field.
+    """Events of the answer from ``offset`` on.
 
-    For an answer that is not a stream each event is a part of its body.
+    An event is the data field of one server-sent event.  If the answer is not a stream,
+    it is a section of the body.
     """
 
     request_id: str
@@ -164,7 +173,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Sent when nothing else was, so that a silent connection shows."""
+    """Sent when no other frame was; its absence reveals a silent connection."""
 
     request_id: str
     load: Load
@@ -173,7 +182,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class End:
-    """The answer is whole; ``offset`` is the count of its events."""
+    """The answer is complete; ``offset`` is the number of its events."""
 
     request_id: str
     attempt: int
@@ -185,7 +194,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The answer ends here, not whole, after ``offset`` events."""
+    """The answer failed and ends incomplete after ``offset`` events."""
 
     request_id: str
     attempt: int
@@ -198,7 +207,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class PushConfig:
-    """Hand a configuration to a process that is behind."""
+    """Sends the configuration to a process that has an outdated one."""
 
     config: Config
 
@@ -206,7 +215,10 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ConfigAck:
-    """The revision in force at the answering process after a push or a read."""
+    """Reply to :class:`PushConfig` and :class:`ReadConfig`.
+
+    ``revision`` is the current one of the replying process.
+    """
 
     revision: int
     config: Config | None = None
@@ -215,7 +227,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class ReadConfig:
-    """Ask for the configuration if it is newer than ``revision``."""
+    """Asks for the configuration if it is newer than ``revision``."""
 
     revision: int
 
--- a/gooseberrydale/connection/peer_frames.py
+++ b/gooseberrydale/connection/peer_frames.py
@@ -1,7 +1,7 @@
-"""Frames of the stream that one control replica sends to another.
+"""Messages of the gRPC streams between control replicas.
 
-A stream lives as long as its connection.  The receiver answers a batch with
-``want_ack`` at once, so that a silent connection shows.
+Each connection carries one stream of batches.  The receiver acknowledges a batch with
+``want_ack`` immediately; a missing acknowledgement reveals a silent connection.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class PeerFrame:
-    """One addressed message; ``body`` is its wire form."""
+    """One addressed message; ``body`` holds it in encoded form."""
 
     cluster: str
     source: Member
@@ -27,7 +27,7 @@
 @message
 @dataclass(frozen=True, slots=True)
 class PeerBatch:
-    """Frames in the order of sending."""
+    """Frames in the order in which they were sent."""
 
     frames: tuple[PeerFrame, ...]
     want_ack: bool = False
@@ -36,11 +36,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class PeerAck:
-    """The connection works."""
+    """Acknowledges a batch: the connection works."""
 
 
 def pack(envelopes: Iterable[Envelope], want_ack: bool) -> PeerBatch:
-    """Return the batch that carries these envelopes."""
+    """Encode envelopes into a batch."""
     frames = [
         PeerFrame(env.cluster, env.source, env.target, encode(env.body))
         for env in envelopes
@@ -49,7 +49,7 @@
 
 
 def unpack(batch: PeerBatch) -> list[Envelope]:
-    """Return the envelopes of a batch; raises CodecError on an unknown message."""
+    """Decode the envelopes of a batch; raise CodecError on an invalid message."""
     return [
         Envelope(frame.cluster, frame.source, frame.target, decode(frame.body))
         for frame in batch.frames
--- a/gooseberrydale/connection/rpc.py
+++ b/gooseberrydale/connection/rpc.py
@@ -1,9 +1,9 @@
-"""gRPC without generated stubs: methods, servers and channels of our protocol.
+"""gRPC methods, servers and channels of this system, without generated stubs.
 
-Each method is named once, as a :class:`Method`.  Servers register handlers for
-methods, clients call them; the codec carries any registered message.  A shared
-fleet token in the metadata keeps strangers out.  Automatic retries are off:
-nothing below the request path may send a call again.
+Each method is declared once, as a :class:`Method`.  Servers register handlers for
+methods, clients call them; the codec transfers any registered message.  A shared fleet
+token in the metadata authenticates each call.  Automatic retries are disabled: only the
+request path decides whether a call is sent again.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
     ("grpc.initial_reconnect_backoff_ms", 100),
     ("grpc.min_reconnect_backoff_ms", 100),
     ("grpc.max_reconnect_backoff_ms", 500),
-    # Each channel has its own connection, so closing one replaces it for good.
+    # Each channel has its own connection: a new channel never reuses an old one.
     ("grpc.use_local_subchannel_pool", 1),
 ]
 SERVER_OPTIONS: list[tuple[str, Any]] = [
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Method:
-    """One method of the protocol; flags say which side streams."""
+    """One method of the protocol; the flags state which side streams."""
 
     service: str
     name: str
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
-    """Paths of PEM files: own certificate and key, and the trusted authority."""
+    """Paths of PEM files: certificate and key of this process, and the trusted CA."""
 
     cert_file: str
     key_file: str
@@ -100,7 +100,7 @@
 
 
 class _TokenCheck(grpc.aio.ServerInterceptor):
-    """Refuses every call whose metadata lacks the fleet token."""
+    """Rejects calls whose metadata has no fleet token or a wrong one."""
 
     def __init__(self, token: str) -> None:
         self._token = token.encode()
@@ -116,12 +116,12 @@
 async def _refuse_token(_req: Any, ctx: Any) -> Any:
     await ctx.abort(
         grpc.StatusCode.UNAUTHENTICATED,
-        "fleet token missing or wrong; set the same fleet_token_file everywhere",
+        "fleet token missing or wrong; set the same fleet_token_file in all processes",
     )
 
 
 class RpcServer:
-    """A gRPC listener; add handlers, then ``start``; ``close`` drains."""
+    """A gRPC server: register handlers, then call ``start``; ``close`` drains it."""
 
     def __init__(self, address: str, token: str, tls: TlsFiles | None = None) -> None:
         self._address = address
@@ -132,7 +132,7 @@
         self.port = 0
 
     def unary(self, method: Method, handler: Unary) -> None:
-        """Serve ``method`` with a coroutine from message to message."""
+        """Serve ``method`` with a coroutine that returns the reply to a message."""
 
         async def serve(req: Any, _ctx: Any) -> Any:
             return await handler(req)
@@ -142,31 +142,31 @@
     def streaming(self, method: Method, handler: Streaming) -> None:
         """Serve ``method`` with an async generator of messages.
 
-        The handler gets a message, or an iterator of messages if the client
-        streams too.
+        The handler is called with a message, or with an iterator of messages if the
+        client streams too.
         """
 
         async def serve(req: Any, _ctx: Any) -> AsyncIterator[Any]:
-            # Closed here, so that a handler cleans up as soon as its caller is gone.
+            # Lets the handler clean up as soon as its caller has disconnected.
             async with aclosing(cast(Replies, handler(req))) as replies:
                 async for msg in replies:
                     yield msg
 
-        maker = (
+        factory = (
             grpc.stream_stream_rpc_method_handler
             if method.client_streams
             else grpc.unary_stream_rpc_method_handler
         )
-        self._add(method, maker, serve)
+        self._add(method, factory, serve)
 
-    def _add(self, method: Method, maker: Any, serve: Any) -> None:
+    def _add(self, method: Method, factory: Any, serve: Any) -> None:
         handlers = self._handlers.setdefault(method.service, {})
-        handlers[method.name] = maker(
+        handlers[method.name] = factory(
             serve, request_deserializer=decode, response_serializer=encode
         )
 
     async def start(self) -> None:
-        """Bind and serve; raises OSError if the address can't be bound."""
+        """Bind and serve; raise OSError if the address can't be bound."""
         server = grpc.aio.server(
             interceptors=[_TokenCheck(self._token)], options=SERVER_OPTIONS
         )
@@ -187,14 +187,14 @@
         self._server = server
 
     async def close(self, grace_s: float = 0.0) -> None:
-        """Stop; running calls get ``grace_s`` seconds."""
+        """Stop; running calls have ``grace_s`` seconds to finish."""
         if self._server is not None:
             await self._server.stop(grace_s)
             self._server = None
 
 
 class RpcChannel:
-    """One connection to one process; ``close`` drops it with all its calls."""
+    """A connection to one process; ``close`` cancels all its calls."""
 
     def __init__(self, address: str, token: str, tls: TlsFiles | None = None) -> None:
         self.address = address
@@ -224,13 +224,13 @@
             (False, True): self._channel.unary_stream,
             (True, True): self._channel.stream_stream,
         }
-        maker = kinds[method.client_streams, method.server_streams]
-        return maker(
+        factory = kinds[method.client_streams, method.server_streams]
+        return factory(
             method.path, request_serializer=encode, response_deserializer=decode
         )
 
     async def connect(self) -> bool:
-        """Wait until the connection stands; False if opening it failed."""
+        """Wait until the connection is open; return False if opening it failed."""
         while True:
             state = self._channel.get_state(try_to_connect=True)
             if state is grpc.ChannelConnectivity.READY:
--- a/gooseberrydale/connection/sse.py
+++ b/gooseberrydale/connection/sse.py
@@ -1,8 +1,8 @@
 """Splits a byte stream into server-sent events.
 
-Lives as long as one answer of an upstream.  :class:`SseParser` keeps the data field
-alone: the upstreams of our own interface use no other one, and event ids are the
-entry's own.  :class:`EventCutter` leaves events as they came.
+Each answer of an upstream has its own parser.  :class:`SseParser` returns only the data
+fields: upstreams with this project's own interface use no other field, and the entry
+assigns the event ids itself.  :class:`EventCutter` returns the events byte for byte.
 """
 
 from __future__ import annotations
@@ -15,28 +15,32 @@
 
 
 MAX_ID_BYTES = 256
+"""A longer event id is ignored."""
 
 
 class SseError(ValueError):
-    """The bytes are no event stream, or one event is over the limit."""
+    """An event exceeds the size limit."""
 
 
 class SseParser:
-    """Feed it chunks as they arrive; it returns the events that became whole."""
+    """Extracts the data fields of complete events from chunks of a stream."""
 
     def __init__(self, max_event_bytes: int = MAX_EVENT_BYTES) -> None:
         self._max_event_bytes = max_event_bytes
-        self._rest = b""
+        self._remainder = b""
         self._lines: list[bytes] = []
 
     @property
     def pending(self) -> bool:
-        """True if the bytes so far end inside an event."""
-        return bool(self._rest.strip(b"\r\n") or self._lines)
+        """Whether the bytes received so far end within an event."""
+        return bool(self._remainder.strip(b"\r\n") or self._lines)
 
     def feed(self, data: bytes) -> list[bytes]:
-        """Return the data fields that ``data`` completes; raise :class:`SseError`."""
-        *lines, self._rest = (self._rest + data).split(b"\n")
+        """Return the data fields of the events that ``data`` completes.
+
+        Raises :class:`SseError` if an event exceeds the size limit.
+        """
+        *lines, self._remainder = (self._remainder + data).split(b"\n")
         events = []
         for line in lines:
             event = self._take_line(line.removesuffix(b"\r"))
@@ -61,41 +65,48 @@
             self._lines.append(value.removeprefix(b" "))
 
     def _check_size(self) -> None:
-        size = len(self._rest) + sum(map(len, self._lines))
+        size = len(self._remainder) + sum(map(len, self._lines))
         if size > self._max_event_bytes:
-            raise SseError(f"an event is over {self._max_event_bytes} bytes")
+            raise SseError(f"an event exceeds {self._max_event_bytes} bytes")
 
 
 @dataclass(frozen=True, slots=True)
 class RawEvent:
-    """One whole event as it came, with its blank line, and its id if it has one."""
+    """One complete event.
+
+    ``data`` holds its bytes unchanged, with the blank line that ends it; ``event_id``
+    is its id, None if it has none.
+    """
 
     data: bytes
     event_id: str | None
 
 
 class EventCutter:
-    """Cuts a byte stream into whole events and leaves their bytes as they are.
+    """Splits a byte stream into complete events and leaves their bytes unchanged.
 
-    What is left of an event that was never completed stays inside.
+    The bytes of an incomplete event stay buffered.
     """
 
     def __init__(self, max_event_bytes: int = MAX_EVENT_BYTES) -> None:
         self._max_event_bytes = max_event_bytes
-        self._rest = b""
+        self._remainder = b""
 
     @property
     def rest(self) -> bytes:
-        """The bytes after the last whole event."""
-        return self._rest
+        """The bytes after the last complete event."""
+        return self._remainder
 
     def feed(self, data: bytes) -> list[RawEvent]:
-        """Return the events that ``data`` completes; raise :class:`SseError`."""
-        *whole, self._rest = _BLANK_LINE.split(self._rest + data)
-        if len(self._rest) > self._max_event_bytes:
-            raise SseError(f"an event is over {self._max_event_bytes} bytes")
-        # The pattern keeps each blank line as an item of its own.
-        pairs = zip(whole[::2], whole[1::2], strict=True)
+        """Return the events that ``data`` completes.
+
+        Raises :class:`SseError` if an event exceeds the size limit.
+        """
+        *complete, self._remainder = _BLANK_LINE.split(self._remainder + data)
+        if len(self._remainder) > self._max_event_bytes:
+            raise SseError(f"an event exceeds {self._max_event_bytes} bytes")
+        # The pattern is a group: ``split`` returns each blank line as its own item.
+        pairs = zip(complete[::2], complete[1::2], strict=True)
         return [RawEvent(text + blank, _event_id(text)) for text, blank in pairs]
 
 
--- a/gooseberrydale/connection/tcp.py
+++ b/gooseberrydale/connection/tcp.py
@@ -1,6 +1,6 @@
-"""Options of TCP connections that find a path which no longer passes bytes.
+"""TCP socket options that detect a network path on which packets are lost.
 
-Lives as long as one call each: options are set once, on a connected socket.
+The options are set once, on a connected socket.
 """
 
 from __future__ import annotations
@@ -11,12 +11,16 @@
 KEEPALIVE_IDLE_S = 2
 KEEPALIVE_INTERVAL_S = 1
 KEEPALIVE_PROBES = 3
-UNACKED_MS = 3_000
-"""Sent bytes may stay unacknowledged for this long: some hundred round trips."""
+UNACKED_TIMEOUT_MS = 3_000
+"""Longest time that sent bytes may stay unacknowledged: some hundred round trips."""
 
 
-def probe_when_idle(sock: Any) -> None:
-    """Let the kernel find a connection that something on the way has forgotten."""
+def enable_keepalive(sock: Any) -> None:
+    """Enable TCP keepalive.
+
+    The kernel then detects an idle connection whose state a firewall or other device on
+    the path has dropped.
+    """
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -25,8 +29,8 @@
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
 
 
-def bound_unacked(sock: Any) -> None:
-    """Break the connection once sent bytes stay unacknowledged for too long."""
+def set_unacked_timeout(sock: Any) -> None:
+    """Let the kernel close the connection if sent bytes stay unacknowledged."""
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
--- a/gooseberrydale/connection/transit.py
+++ b/gooseberrydale/connection/transit.py
@@ -1,12 +1,11 @@
-"""Bounds how long messages of one connection were under way.
-
-Lives as long as its connection.  The two ends have loop clocks that start
-anywhere and run at nearly the same rate.  A message that echoes our clock says
-what it showed at least when the message was made, which bounds the offset of the
-clocks from below; from then on each message's age has a sure upper bound.  It errs
-on the long side, by the time that the echoed message was under way, so that a
-lease is never prolonged by a slow, silent or frozen path.  The module reads no
-clock.
+"""Computes an upper bound of the age of messages received over one connection.
+
+The loop clocks of the two ends have arbitrary offsets and run at nearly the same rate.
+A message that echoes the local clock states a lower bound of what that clock showed
+when the message was created.  This bounds the offset between the clocks from below, and
+thereby the age of all later messages from above.  The bound is too high by the time
+that the echoed message took to arrive, but never too low: a slow, silent or frozen path
+can't prolong a lease.  The module reads no clock.
 """
 
 from __future__ import annotations
@@ -14,29 +13,30 @@
 import math
 
 MAX_DRIFT = 1e-3
-"""How much the clocks may drift apart, in seconds a second: twice the slew limit."""
+"""Most that the clocks drift apart, in seconds per second: twice the slew limit."""
 
 
 class TransitBound:
-    """Upper bound of the age of messages heard over one connection."""
+    """Upper bound of the age of messages received over one connection."""
 
     def __init__(self) -> None:
-        self._least_offset = -math.inf
-        self._learned_at = 0.0
+        self._min_clock_offset = -math.inf
+        self._updated_at = 0.0
 
     def heard(self, sent_at: float, echo_at: float | None, now: float) -> None:
-        """Learn from a message made at ``sent_at`` of the peer's clock.
+        """Record a message that was created at ``sent_at`` by the peer's clock.
 
-        ``echo_at`` is what our clock showed then at least, if the peer knows.
+        ``echo_at`` is a lower bound of what the local clock showed then; None if the
+        peer has received no message yet.
         """
         if echo_at is None:
             return
-        self._least_offset = max(self._offset(now), echo_at - sent_at)
-        self._learned_at = now
+        self._min_clock_offset = max(self._offset(now), echo_at - sent_at)
+        self._updated_at = now
 
     def age_s(self, sent_at: float, now: float) -> float:
-        """Seconds at most since the message was made; infinite if not known."""
+        """Return the greatest possible age of a message; infinite before an echo."""
         return now - sent_at - self._offset(now)
 
     def _offset(self, now: float) -> float:
-        return self._least_offset - MAX_DRIFT * (now - self._learned_at)
+        return self._min_clock_offset - MAX_DRIFT * (now - self._updated_at)
--- a/gooseberrydale/connection/upstream_api.py
+++ b/gooseberrydale/connection/upstream_api.py
@@ -1,7 +1,7 @@
-"""The upstream's own interface beside the work: health, load, cache, orders.
+"""Client of the management interface of upstreams: health, load, cache and orders.
 
-Lives as long as one call each; see docs/design/upstream-interface.md.  Answers are
-decoded into frozen dataclasses; unknown fields are ignored.
+docs/design/upstream-interface.md describes the interface.  Responses are decoded into
+frozen dataclasses; unknown fields are ignored.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthReply:
-    """Answer of ``GET /health``."""
+    """Response to ``GET /health``."""
 
     ready: bool = True
     incarnation: str = ""
@@ -36,10 +36,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReply:
-    """Answer of ``GET /load``; it may lag behind.
+    """Response to ``GET /load``; its counters may lag behind.
 
-    ``requests`` holds id and attempt of each request that the engine has not ended,
-    without a lag; None from an engine that doesn't tell.
+    ``requests`` holds the id and attempt of each request that the engine has not ended.
+    It does not lag; it is None if the engine doesn't report it.
     """
 
     running: int = 0
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheSnapshot:
-    """Answer of ``GET /cache/snapshot``."""
+    """Response to ``GET /cache/snapshot``."""
 
     incarnation: str
     seq: int
@@ -71,10 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Backpressure:
-    """What an upstream that is short of capacity asks for with an answer.
+    """What an overloaded upstream requests in the headers of a response.
 
-    ``limit_per_s`` is the rate of requests that it takes, ``retry_after_s`` is for how
-    long it wants none; None if it doesn't say so.
+    ``limit_per_s`` is the rate of requests that it accepts; ``retry_after_s`` is how
+    long it wants no requests.  Each is None if the headers don't state it.
     """
 
     limit_per_s: float | None = None
@@ -82,10 +82,10 @@
 
 
 def backpressure_of(status: int, headers: Headers) -> Backpressure:
-    """What the head of an answer asks for; what can't be read is left out."""
-    found = dict(headers)
-    retry_after = found.get(RETRY_AFTER) if status == STATUS_UNAVAILABLE else None
-    return Backpressure(_number(found.get(LIMIT_HEADER)), _number(retry_after))
+    """Return the backpressure that a response states; ignore invalid headers."""
+    fields = dict(headers)
+    retry_after = fields.get(RETRY_AFTER) if status == STATUS_UNAVAILABLE else None
+    return Backpressure(_number(fields.get(LIMIT_HEADER)), _number(retry_after))
 
 
 def _number(value: str | None) -> float | None:
@@ -105,7 +105,7 @@
     headers: Headers = (),
     timeout_s: float = CALL_TIMEOUT_S,
 ) -> Reply:
-    """Make one call with a JSON body; raise :class:`UpstreamError` if it fails."""
+    """Make one call with a JSON body; raise :class:`UpstreamError` on failure."""
     http = UpstreamCall(base_url)
     data = b"" if body is None else msgspec.json.encode(body)
     try:
@@ -114,17 +114,21 @@
             await http.open(method, target, sent, data)
             return Reply(http.status, await _read(http))
     except TimeoutError as exc:
-        raise UpstreamError(f"no answer in {timeout_s:g} s", sent=http.sent) from exc
+        raise UpstreamError(
+            f"no complete response within {timeout_s:g} s", sent=http.sent
+        ) from exc
     finally:
         await http.close()
 
 
 async def _read(http: UpstreamCall) -> bytes:
-    parts: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
     async for data in http.chunks():
         size += len(data)
         if size > MAX_REPLY_BYTES:
-            raise UpstreamError(f"an answer is over {MAX_REPLY_BYTES} bytes", sent=True)
-        parts.append(data)
-    return b"".join(parts)
+            raise UpstreamError(
+                f"the response exceeds {MAX_REPLY_BYTES} bytes", sent=True
+            )
+        chunks.append(data)
+    return b"".join(chunks)
--- a/gooseberrydale/connection/upstream_http.py
+++ b/gooseberrydale/connection/upstream_http.py
@@ -1,10 +1,10 @@
-"""HTTP towards the upstream: every call on a connection of its own.
+"""HTTP client for upstreams that uses a new connection for every call.
 
-Lives as long as one call.  aiosonic by itself sends a request again when a reused
-connection drops and the method is idempotent in HTTP, and it hands a connection
-with an answer still to come to the next request when the first was cancelled.
-Both are ruled out at once by never using a connection twice.  The connection also
-records whether anything was written, so a failure before that is known as not run.
+By default aiosonic sends a request again if a reused connection drops and HTTP defines
+the method as idempotent.  It also reuses the connection of a cancelled request, whose
+response may still arrive, for the next request.  Never reusing a connection prevents
+both.  The connection also records whether anything was written: if a call fails before
+that, the upstream has not run it.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 from aiosonic.pools import PoolConfig
 from aiosonic.timeout import Timeouts
 
-from gooseberrydale.connection.tcp import probe_when_idle
+from gooseberrydale.connection.tcp import enable_keepalive
 from gooseberrydale.connection.upstream_reply import Headers, UpstreamError
 
 CONNECT_TIMEOUT_S = 2.0
 
-# Hop-by-hop headers, and those that the client library sets itself.
+# Hop-by-hop headers, and in requests those that the client library sets itself.
 _DROPPED_OUT = frozenset(
     "connection keep-alive proxy-authenticate proxy-authorization proxy-connection te"
     " trailer transfer-encoding upgrade host content-length expect".split()
@@ -43,7 +43,7 @@
 
 
 class _SingleUse(Connection):  # type: ignore[misc]
-    """A connection that serves one request and notes when it is written to."""
+    """A connection for one request, which records when it is written to."""
 
     def __init__(self, call: UpstreamCall, pool: Any) -> None:
         super().__init__(pool)
@@ -57,19 +57,21 @@
         self.keep = False
 
     def write(self, data: bytes) -> None:
-        # Nothing may be sent for a caller that has gone.
+        # Nothing may be sent for a call that has been cancelled.
         _raise_if_cancelled()
         self._call.sent = True
         super().write(data)
 
     async def _connection_made(self) -> None:
         await super()._connection_made()
-        probe_when_idle(self.writer.get_extra_info("socket"))
+        enable_keepalive(self.writer.get_extra_info("socket"))
 
 
 def _raise_if_cancelled() -> None:
-    """``wait_for`` of Python 3.11 drops a cancellation that meets the end of its work,
-    here of the connecting, be it a connection or a failure.
+    """Raise the cancellation of the current task that ``wait_for`` has dropped.
+
+    ``asyncio.wait_for`` of Python 3.11 drops a cancellation that arrives just as the
+    awaited work ends: here as connecting succeeds or fails.
     """
     task = asyncio.current_task()
     if task is not None and task.cancelling():
@@ -77,7 +79,10 @@
 
 
 class UpstreamCall:
-    """One HTTP call.  ``open`` sends it, ``chunks`` reads the body, then ``close``."""
+    """One HTTP call: ``open`` sends it, ``chunks`` reads the body, ``close`` ends it.
+
+    ``sent`` is True once anything was written, so the upstream may run the request.
+    """
 
     def __init__(self, base_url: str) -> None:
         self._base_url = base_url.rstrip("/")
@@ -101,7 +106,7 @@
     async def open(
         self, method: str, target: str, headers: Headers = (), body: bytes = b""
     ) -> None:
-        """Send the request and read the head of the answer.
+        """Send the request and read the head of the response.
 
         ``target`` is the path with its query.  Raises :class:`UpstreamError`.
         """
@@ -109,11 +114,11 @@
             if not _METHOD.fullmatch(method):
                 raise ValueError(f"method {method!r} is not valid")
             self._response = await self._client.request(
-                self._base_url + _clean_target(target),
-                # The library drops the body of "GET", not of "get", and sends both
-                # in capitals.
+                self._base_url + _quote_target(target),
+                # The library drops the body of "GET" but not of "get"; it sends both
+                # in upper case.
                 method.lower(),
-                headers=_outgoing(method, headers, body),
+                headers=_request_headers(method, headers, body),
                 data=body or None,
                 stream=True,
             )
@@ -136,7 +141,10 @@
             _check_framed(response)
 
     async def chunks(self) -> AsyncGenerator[bytes, None]:
-        """Yield the body as it arrives; raise :class:`UpstreamError` if it breaks."""
+        """Yield the body as it arrives.
+
+        Raises :class:`UpstreamError` if the connection fails before its end.
+        """
         if self._response is None:
             return
         if not self._response._has_pending_body():
@@ -148,12 +156,12 @@
             raise UpstreamError(_describe(exc), sent=True) from exc
 
     def abort(self) -> None:
-        """Break the connection; ``open`` or ``chunks`` then raises."""
+        """Close the connection at once, which makes ``open`` or ``chunks`` raise."""
         for connection in self.connections:
             connection.close()
 
     async def close(self) -> None:
-        """Close the connection, which cancels work that is not finished."""
+        """Close the connection, which makes the upstream cancel unfinished work."""
         if self._response is not None:
             await self._response.aclose()
             self._response = None
@@ -166,23 +174,29 @@
 
 
 def _check_framed(response: HttpResponse) -> None:
-    """The library reads a body that ends with the connection as empty: refuse it."""
+    """Reject a response whose body ends with the connection.
+
+    The library would read such a body as empty.
+    """
     if response.chunked or "content-length" in response.headers:
         return
-    raise ValueError("the answer has neither a length nor chunks")
+    raise ValueError("the response has neither content-length nor chunked encoding")
 
 
-def _clean_target(target: str) -> str:
-    """Quote what must not stand in a request line; the library drops ``;`` parts."""
-    path, mark, query = target.partition("?")
+def _quote_target(target: str) -> str:
+    """Quote characters that a request line can't hold, and ``;`` in the path.
+
+    The library would drop what follows a ``;`` in the path.
+    """
+    path, delimiter, query = target.partition("?")
     path = quote(path if path.startswith("/") else "/" + path, safe="/:@!$&'()*+,=~%")
-    return path + mark + quote(query, safe="/:@!$&'()*+,;=~%?[]|")
+    return path + delimiter + quote(query, safe="/:@!$&'()*+,;=~%?[]|")
 
 
-def _outgoing(method: str, headers: Headers, body: bytes) -> dict[str, str]:
-    """Join repeated headers, since the library keeps one of each name."""
+def _request_headers(method: str, headers: Headers, body: bytes) -> dict[str, str]:
+    """Return the headers to send; join repeated ones, as the library sends one each."""
     joined: dict[str, str] = {}
-    listed = {
+    hop_headers = {
         token.strip().lower()
         for name, value in headers
         if name.lower() == "connection"
@@ -190,10 +204,10 @@
     }
     for name, value in headers:
         name = name.lower()
-        if name in _DROPPED_OUT or name in listed:
+        if name in _DROPPED_OUT or name in hop_headers:
             continue
-        glue = "; " if name == "cookie" else ", "
-        joined[name] = joined[name] + glue + value if name in joined else value
+        separator = "; " if name == "cookie" else ", "
+        joined[name] = joined[name] + separator + value if name in joined else value
     if method in _METHODS_WITH_BODY and not body:
         joined["content-length"] = "0"
     return joined
--- a/gooseberrydale/connection/upstream_reply.py
+++ b/gooseberrydale/connection/upstream_reply.py
@@ -1,7 +1,6 @@
-"""What calls to upstreams have in common: their failure, headers, and small answers.
+"""Types that all HTTP calls to upstreams share: errors, headers and small responses.
 
-Each lives for one call.  Kept apart from the HTTP libraries, which not every process
-loads.
+The module imports no HTTP library, since not every process loads one.
 """
 
 from __future__ import annotations
@@ -17,9 +16,11 @@
 
 
 class UpstreamError(Exception):
-    """A call to the upstream failed; ``sent`` tells whether it may have arrived.
+    """A call to an upstream failed.
 
-    ``refused`` says that the host is there but nobody listens at the address.
+    ``sent`` is False if no part of the request was sent, so the upstream can't have run
+    it.  ``refused`` is True if the host is reachable but no process listens at the
+    address.
     """
 
     def __init__(self, reason: str, *, sent: bool, refused: bool = False) -> None:
@@ -30,14 +31,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """Status and body of a call."""
+    """Status and body of a response."""
 
     status: int
     body: bytes
 
     def decode(self, kind: type[T]) -> T:
-        """Return the body as ``kind``; raise :class:`UpstreamError` if it is not."""
+        """Decode the body as JSON of type ``kind``.
+
+        Raises :class:`UpstreamError` if it has another form.
+        """
         try:
             return msgspec.json.decode(self.body, type=kind)
         except msgspec.MsgspecError as exc:
-            raise UpstreamError(f"not the awaited JSON: {exc}", sent=True) from exc
+            raise UpstreamError(
+                f"the response is not the expected JSON: {exc}", sent=True
+            ) from exc
--- a/gooseberrydale/connection/work_gossip.py
+++ b/gooseberrydale/connection/work_gossip.py
@@ -1,9 +1,9 @@
-"""Reports to the gateways nearby what work this one has at each upstream, by datagrams.
+"""Reports the work of this gateway at each upstream to nearby gateways, by datagrams.
 
-Lives as long as the process.  A report of what changed goes out soon after a change,
-and all work each second, so that a lost report does little harm.  The more gateways
-there are, the longer changes are gathered, so that reports never take more than a small
-part of a node's processor and link.
+There is one :class:`WorkGossip` per process.  It reports changes soon after they occur,
+and all work once a second, which limits the harm of a lost report.  The more gateways
+there are, the longer changes are gathered into one report: this bounds the share of a
+node's processor time and link that reports take.
 """
 
 from __future__ import annotations
@@ -22,37 +22,43 @@
 )
 
 GATHER_S = 0.005
-"""Changes within this time share a report: a third of the least time that a request
-takes, so that the others know of it before they choose for the next one or two."""
+"""Changes within this time share a report.  It is a third of the time that the shortest
+request takes, so the other gateways receive the change before they have chosen
+upstreams for more than one or two further requests."""
 
-DATAGRAMS_PER_S = 400.0
-"""What a gateway sends, and with as many gateways nearby also gets, in a second at
-most: some 32 ms of processor time for both ends together, and 60 KB."""
+MAX_DATAGRAMS_PER_S = 400.0
+"""Most datagrams that a gateway sends in a second, and also receives if the nearby
+gateways send as many.  They take about 32 ms of processor time at both ends together,
+and 60 KB."""
 
-REPEAT_S = 1.0
+FULL_REPORT_INTERVAL_S = 1.0
+"""Interval between two reports of all work."""
 
 
-class OwnView(Protocol):
-    """What this gateway tells of itself, and what it does with others' refusals."""
+class LocalWork(Protocol):
+    """The work that this gateway reports, and its handling of reports from others."""
 
     def works(self) -> tuple[UpstreamWork, ...]:
-        """Its work at each upstream."""
+        """Return the work of this gateway at each upstream."""
 
     def refusing(self, now: float) -> tuple[str, ...]:
-        """The upstreams that refused a request of it just now."""
+        """Return the upstreams that have just refused a request of this gateway."""
 
     def peer_refused(self, names: Collection[str], now: float) -> None:
-        """Another gateway was refused by these upstreams."""
+        """Handle a report that these upstreams refused another gateway."""
 
     def silent(self, now: float) -> tuple[str, ...]:
-        """The upstreams that it takes for dead."""
+        """Return the upstreams that this gateway considers dead."""
 
     def peer_silent(self, names: Collection[str], now: float) -> None:
-        """Another gateway takes these upstreams for dead."""
+        """Handle a report that another gateway considers these upstreams dead."""
 
 
 class WorkGossip:
-    """``changed`` is called at each change; ``view`` is read when a report is due."""
+    """Sends and receives reports of work.
+
+    The caller calls ``changed`` at each change; ``view`` is read when a report is due.
+    """
 
     def __init__(
         self,
@@ -60,7 +66,7 @@
         name: str,
         incarnation: str,
         loads: PeerLoads,
-        view: OwnView,
+        view: LocalWork,
         fleet: FleetView,
     ) -> None:
         self._datagrams = datagrams
@@ -70,34 +76,34 @@
         self._view = view
         self._fleet = fleet
         self._seq = 0
-        self._told: dict[str, UpstreamWork] = {}
-        self._told_at = -math.inf
-        self._due: asyncio.TimerHandle | None = None
+        self._last_works: dict[str, UpstreamWork] = {}
+        self._last_report_at = -math.inf
+        self._report_timer: asyncio.TimerHandle | None = None
         self._task: asyncio.Task[None] | None = None
-        datagrams.on(WorkReport, self._hear)
+        datagrams.on(WorkReport, self._receive)
 
     async def start(self) -> None:
-        """Begin to tell; the socket is open."""
+        """Start to send reports; the socket must be open."""
         self._task = asyncio.create_task(self._repeat())
 
     async def close(self) -> None:
-        """Stop telling."""
-        if self._due is not None:
-            self._due.cancel()
+        """Stop sending reports."""
+        if self._report_timer is not None:
+            self._report_timer.cancel()
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     def changed(self) -> None:
-        """The own work has changed; tell it soon."""
-        if self._due is None and self._datagrams.is_open:
+        """Schedule a report, since the work of this gateway has changed."""
+        if self._report_timer is None and self._datagrams.is_open:
             loop = asyncio.get_running_loop()
-            pause_s = len(self._fleet().near) / DATAGRAMS_PER_S
-            due_at = max(loop.time() + GATHER_S, self._told_at + pause_s)
-            self._due = loop.call_at(due_at, self._tell)
+            min_interval_s = len(self._fleet().near) / MAX_DATAGRAMS_PER_S
+            due_at = max(loop.time() + GATHER_S, self._last_report_at + min_interval_s)
+            self._report_timer = loop.call_at(due_at, self._send_report)
 
-    def _hear(self, report: WorkReport) -> None:
-        """Take a report of another gateway in."""
+    def _receive(self, report: WorkReport) -> None:
+        """Merge a report of another gateway."""
         if report.name == self._name:
             return
         now = asyncio.get_running_loop().time()
@@ -108,29 +114,29 @@
     async def _repeat(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(REPEAT_S)
+            await asyncio.sleep(FULL_REPORT_INTERVAL_S)
             self._loads.expire(loop.time())
-            self._tell(whole=True)
+            self._send_report(whole=True)
 
-    def _tell(self, *, whole: bool = False) -> None:
-        """Send what changed since the last report, or all work."""
-        if self._due is not None:
-            self._due.cancel()
-            self._due = None
+    def _send_report(self, *, whole: bool = False) -> None:
+        """Send the changes since the last report, or all work if ``whole`` is set."""
+        if self._report_timer is not None:
+            self._report_timer.cancel()
+            self._report_timer = None
         now = asyncio.get_running_loop().time()
         works = {work.upstream: work for work in self._view.works()}
-        told = tuple(works.values()) if whole else changes(self._told, works)
+        reported = tuple(works.values()) if whole else changes(self._last_works, works)
         refusing = self._view.refusing(now)
         silent = self._view.silent(now)
-        if not (whole or told or refusing or silent):
+        if not (whole or reported or refusing or silent):
             return
-        self._told, self._told_at = works, now
+        self._last_works, self._last_report_at = works, now
         self._seq += 1
         report = WorkReport(
             name=self._name,
             incarnation=self._incarnation,
             seq=self._seq,
-            works=told,
+            works=reported,
             refusing=refusing,
             whole=whole,
             silent=silent,
--- a/tests/builders_mesh.py
+++ b/tests/builders_mesh.py
@@ -1,4 +1,4 @@
-"""Builders of records and mesh members for tests."""
+"""Builders of upstream records and mesh members for tests."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def record(name: str = "u1", incarnation: str = "i1", **fields: Any) -> UpstreamRecord:
-    """A ready record of pool ``p``."""
+    """Return the record of a ready upstream of pool ``p``."""
     base = UpstreamRecord(
         name=name,
         incarnation=incarnation,
@@ -38,7 +38,7 @@
 
 
 class Member:
-    """A process of the mesh inside the test's own process."""
+    """A member of the mesh that runs inside the process of the test."""
 
     def __init__(
         self,
@@ -84,7 +84,7 @@
         return f"127.0.0.1:{self._rpc.port}"
 
     async def start(self) -> Member:
-        """Serve, if the role does, and open sessions."""
+        """Open sessions, and first serve them if the role is not a sidecar."""
         if self._serves:
             self.mesh.register(self._rpc)
             await self._rpc.start()
@@ -92,23 +92,23 @@
         return self
 
     async def close(self) -> None:
-        """End everything."""
+        """End all sessions and close the listener."""
         await self.mesh.close()
         await self._rpc.close()
 
     def seq(self, name: str) -> int:
-        """Sequence number of the newest record of ``name``; 0 without one."""
-        held = self.directory.get(name, asyncio.get_running_loop().time())
-        return held.seq if held is not None else 0
+        """Return the ``seq`` of the current record of ``name``, 0 if there is none."""
+        current = self.directory.get(name, asyncio.get_running_loop().time())
+        return current.seq if current is not None else 0
 
     def ready(self) -> list[tuple[str, str]]:
-        """Names and incarnations of the upstreams that take work here."""
+        """Return names and incarnations of the upstreams that are ready."""
         now = asyncio.get_running_loop().time()
         return [(r.name, r.incarnation) for r in self.directory.ready("p", now)]
 
 
 async def until(condition: Callable[[], object], bound_s: float = BOUND_S) -> None:
-    """Return once ``condition`` holds; fail after ``bound_s``."""
+    """Return once ``condition`` is true; raise TimeoutError after ``bound_s``."""
     async with asyncio.timeout(bound_s):
         while not condition():
             await asyncio.sleep(0.005)
--- a/tests/test_http_conn.py
+++ b/tests/test_http_conn.py
@@ -1,4 +1,4 @@
-"""Connections of a gateway to its upstreams."""
+"""Opening of HTTP connections from a gateway to its upstreams."""
 
 from __future__ import annotations
 
@@ -15,15 +15,19 @@
     writer.close()
 
 
-def test_a_stall_of_this_process_is_no_silence_of_the_upstream() -> None:
-    """A live upstream would be suspected, and all streams from it be cut."""
+def test_a_stalled_event_loop_does_not_fail_a_connection() -> None:
+    """The event loop stalls for longer than the time limit while the kernel connects.
+
+    If the stall counted as silence, a healthy upstream would be suspected and all its
+    streams would be aborted.
+    """
 
     async def scenario() -> None:
         server = await asyncio.start_server(accept, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         opening = asyncio.create_task(HttpConn.open(f"127.0.0.1:{port}"))
         await asyncio.sleep(0)
-        # The loop does nothing for longer than the limit; the kernel connects.
+        # Blocks the loop for longer than the limit; the kernel connects meanwhile.
         time.sleep(1.2 * CONNECT_TIMEOUT_S)
         (await opening).abort()
         server.close()
@@ -31,8 +35,8 @@
     asyncio.run(scenario())
 
 
-def test_an_upstream_that_grants_no_connection_is_given_up_in_time() -> None:
-    """Its queue of new connections is full, so the kernel drops what comes."""
+def test_connecting_to_an_upstream_with_a_full_backlog_times_out() -> None:
+    """The accept queue is full, so the kernel drops further connection attempts."""
 
     async def scenario() -> float:
         server = await asyncio.start_server(accept, "127.0.0.1", 0, backlog=0)
@@ -40,15 +44,15 @@
         listener = server.sockets[0]
         port = listener.getsockname()[1]
         asyncio.get_running_loop().remove_reader(listener.fileno())
-        held = []
+        open_conns = []
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        with pytest.raises(UpstreamError, match="no connection in time"):
+        started_at = loop.time()
+        with pytest.raises(UpstreamError, match="connecting timed out"):
             for _ in range(8):
-                began = loop.time()
-                held.append(await HttpConn.open(f"127.0.0.1:{port}"))
-        took_s = loop.time() - began
-        for conn in held:
+                started_at = loop.time()
+                open_conns.append(await HttpConn.open(f"127.0.0.1:{port}"))
+        took_s = loop.time() - started_at
+        for conn in open_conns:
             conn.abort()
         server.close()
         return took_s
--- a/tests/test_mesh_messages.py
+++ b/tests/test_mesh_messages.py
@@ -1,4 +1,4 @@
-"""What mesh sessions send and do, in memory on a paused clock."""
+"""Messages and behaviour of mesh sessions, connected in memory on a paused clock."""
 
 from __future__ import annotations
 
@@ -45,7 +45,10 @@
 
 
 class Pipe:
-    """Two sessions joined in memory; ``sent`` keeps all that passed, by sender."""
+    """Two sessions connected in memory.
+
+    ``sent`` records all messages by sender; those of a sender in ``silent`` are lost.
+    """
 
     def __init__(self, opener: MeshNode, server: MeshNode) -> None:
         self.sent: dict[str, list[Any]] = {"opener": [], "server": []}
@@ -77,7 +80,7 @@
         return sum(isinstance(m, kind) for msgs in self.sent.values() for m in msgs)
 
 
-def test_heartbeats_keep_an_idle_session_and_silence_ends_it():
+def test_heartbeats_keep_an_idle_session_open_and_silence_ends_it():
     async def main() -> None:
         pipe = Pipe(await make_node("sidecar", "u1"), await make_node("entry", "e1"))
         await asyncio.sleep(60)
@@ -92,7 +95,7 @@
     run_paused(main())
 
 
-def test_a_process_that_was_frozen_reads_what_came_before_it_gives_peers_up():
+def test_a_stalled_process_reads_pending_messages_before_it_ends_a_session():
     async def main() -> None:
         pipe = Pipe(await make_node("sidecar", "u1"), await make_node("entry", "e1"))
         await asyncio.sleep(2.5)
@@ -109,7 +112,7 @@
     run_paused(main())
 
 
-def test_a_peer_that_never_says_hello_is_given_up():
+def test_a_peer_that_sends_no_hello_is_considered_silent():
     async def main() -> None:
         session = MeshSession(await make_node("sidecar", "u1"), opens=True)
         pipe_feed: asyncio.Queue[Any] = asyncio.Queue()
@@ -122,20 +125,20 @@
     run_paused(main())
 
 
-def test_a_peer_that_begins_with_something_else_is_refused():
-    async def words() -> AsyncIterator[Any]:
+def test_a_peer_whose_first_message_is_not_hello_is_refused():
+    async def messages() -> AsyncIterator[Any]:
         yield Announce((record(),))
 
     async def main() -> None:
         node = await make_node("entry", "e1")
         with pytest.raises(ProblemError):
-            await MeshSession(node, opens=False).run(words(), OPEN_S)
+            await MeshSession(node, opens=False).run(messages(), OPEN_S)
         assert node.directory.version == 0
 
     run_paused(main())
 
 
-def test_a_new_configuration_crosses_once_however_many_sessions_are_open():
+def test_a_new_configuration_is_sent_on_one_session_only():
     async def main() -> None:
         servers = [await make_node("entry", f"e{n}") for n in range(4)]
         sidecar = await make_node("sidecar", "u1")
@@ -151,7 +154,7 @@
     run_paused(main())
 
 
-def test_configurations_that_follow_each_other_each_go_at_once():
+def test_successive_configurations_are_each_sent_immediately():
     async def main() -> None:
         entry, sidecar = await make_node("entry", "e1"), await make_node("sidecar", "u")
         Pipe(sidecar, entry)
@@ -164,7 +167,7 @@
     run_paused(main())
 
 
-def test_a_pull_that_does_not_get_through_is_made_again_elsewhere():
+def test_an_unanswered_configuration_request_is_repeated_on_another_session():
     async def main() -> None:
         servers = [await make_node("entry", f"e{n}") for n in range(2)]
         sidecar = await make_node("sidecar", "u1")
@@ -172,7 +175,7 @@
         await asyncio.sleep(1)
         pipes[0].silent = {"opener"}
         servers[0].store.offer(Config(revision=7))
-        # The pull has lapsed, and its session wakes for something else.
+        # The request has expired; a changed record wakes its session.
         await asyncio.sleep(0.6)
         sidecar.directory.offer(record(), asyncio.get_running_loop().time())
         await asyncio.sleep(0.05)
@@ -184,7 +187,7 @@
     run_paused(main())
 
 
-def test_configurations_of_a_lower_revision_are_never_taken():
+def test_a_configuration_of_a_lower_revision_is_never_accepted():
     async def main() -> None:
         low, high = await make_node("control", "c1", 3), await make_node("entry", "e1")
         high.store.offer(Config(revision=5))
@@ -193,17 +196,17 @@
         assert (low.store.revision, high.store.revision) == (5, 5)
         session = MeshSession(high, opens=False)
 
-        async def words() -> AsyncIterator[Any]:
+        async def messages() -> AsyncIterator[Any]:
             yield Hello("control", "c2", "c2-1", "z1", 9)
             yield ConfigOffer(Config(revision=4))
 
-        await session.run(words(), OPEN_S)
+        await session.run(messages(), OPEN_S)
         assert high.store.revision == 5
 
     run_paused(main())
 
 
-def test_records_go_out_in_batches_once_and_not_to_sidecars():
+def test_records_are_sent_once_in_batches_and_not_to_sidecars():
     async def main() -> None:
         first, second = await make_node("entry", "e1"), await make_node("entry", "e2")
         for n in range(600):
@@ -220,25 +223,25 @@
     run_paused(main())
 
 
-def test_a_lease_loses_what_a_message_was_under_way():
+def test_the_transit_time_of_a_message_is_subtracted_from_the_lease():
     async def main() -> None:
         receiver = await make_node("entry", "e1")
         session = MeshSession(receiver, opens=False)
 
-        async def words() -> AsyncIterator[Any]:
-            # A clock that is 500 s ahead of ours; our clock is echoed exactly.
+        async def messages() -> AsyncIterator[Any]:
+            # The peer's clock is 500 s ahead; it echoes the local clock exactly.
             yield Hello("sidecar", "u1", "u1-1", "z1", 0, sent_at=500.0, echo_at=0.0)
             await asyncio.sleep(2.0)
             yield Announce((record(),), sent_at=500.5, echo_at=0.5)
 
-        await session.run(words(), OPEN_S)
-        (held,) = receiver.directory.records(asyncio.get_running_loop().time())
-        assert held.lease_s == pytest.approx(6.0 - 1.5, abs=0.01)
+        await session.run(messages(), OPEN_S)
+        (current,) = receiver.directory.records(asyncio.get_running_loop().time())
+        assert current.lease_s == pytest.approx(6.0 - 1.5, abs=0.01)
 
     run_paused(main())
 
 
-def test_backoff_starts_short_and_stays_short():
+def test_backoff_delays_stay_between_their_bounds_and_differ():
     backoff = Backoff(0.1, 0.5, random.Random(3))
     delays = [backoff.next_s() for _ in range(50)]
     assert delays[0] <= 0.1
@@ -249,12 +252,12 @@
 
 
 def announced(pipe: Pipe, side: str) -> tuple[int, int]:
-    """How many whole records and renewals one side has sent."""
+    """Return how many full records and how many renewals one side has sent."""
     sent = [m for m in pipe.sent[side] if isinstance(m, Announce)]
     return sum(len(m.records) for m in sent), sum(len(m.renewed) for m in sent)
 
 
-def test_a_record_goes_whole_once_and_is_renewed_after_that():
+def test_a_record_is_sent_in_full_once_and_then_renewed():
     async def main() -> None:
         control, gateway = (
             await make_node("control", "c1"),
@@ -266,18 +269,18 @@
             control.directory.offer(record(seq=seq), loop.time())
             await asyncio.sleep(1.0)
         assert announced(pipe, "server") == (1, 19)
-        held = gateway.directory.get("u1", loop.time())
-        assert held is not None and held.seq == 20
+        current = gateway.directory.get("u1", loop.time())
+        assert current is not None and current.seq == 20
         control.directory.offer(record(seq=21, leaving=True), loop.time())
         await asyncio.sleep(0.1)
         assert announced(pipe, "server") == (2, 19)
-        held = gateway.directory.get("u1", loop.time())
-        assert held is not None and held.leaving
+        current = gateway.directory.get("u1", loop.time())
+        assert current is not None and current.leaving
 
     run_paused(main())
 
 
-def test_a_renewal_of_an_unknown_record_brings_all_records_whole():
+def test_a_renewal_of_an_unknown_record_leads_to_all_records_in_full():
     async def main() -> None:
         control, gateway = (
             await make_node("control", "c1"),
@@ -288,19 +291,19 @@
         control.directory.offer(record(), loop.time())
         control.directory.offer(record("u2", lease_s=30.0), loop.time())
         await asyncio.sleep(1.0)
-        # As if its lease had ended here before the renewal came.
+        # As if the lease had expired at the gateway before the renewal arrived.
         gateway.directory.expire(loop.time() + 7.0)
         assert gateway.directory.get("u1", loop.time()) is None
         control.directory.offer(record(seq=2), loop.time())
         await asyncio.sleep(1.5)
-        held = gateway.directory.get("u1", loop.time())
-        assert held is not None and held.seq == 2
+        current = gateway.directory.get("u1", loop.time())
+        assert current is not None and current.seq == 2
         assert pipe.count(RecordsWanted) == 1
 
     run_paused(main())
 
 
-def test_a_peer_of_an_earlier_release_gets_whole_records():
+def test_a_peer_of_an_earlier_release_receives_full_records():
     async def main() -> None:
         control, gateway = (
             await make_node("control", "c1"),
@@ -318,12 +321,12 @@
     run_paused(main())
 
 
-def test_what_a_session_carries_at_the_size_to_design_for_is_bounded():
-    """350 gateways and 740 upstreams with leases of 18 s, renewed six times in each."""
+def test_the_bytes_of_a_session_at_the_design_size_are_bounded():
+    """350 gateways and 740 upstreams; each lease of 18 s is renewed six times."""
     records, lease_s, rounds = 1_090, 18.0, 4
 
     def size(messages: list[Any]) -> int:
-        return sum(len(encode(one)) for one in messages)
+        return sum(len(encode(msg)) for msg in messages)
 
     async def main() -> int:
         control = await make_node("control", "c1")
@@ -333,9 +336,9 @@
         loop = asyncio.get_running_loop()
         for seq in range(1, 1 + rounds * 3):
             for i in range(records):
-                one = record(f"i-{i:010x}", new_incarnation(i, random.Random(i)))
-                one = replace(one, seq=seq, lease_s=lease_s, pool="a-pool")
-                control.directory.offer(one, loop.time())
+                upstream = record(f"i-{i:010x}", new_incarnation(i, random.Random(i)))
+                upstream = replace(upstream, seq=seq, lease_s=lease_s, pool="a-pool")
+                control.directory.offer(upstream, loop.time())
             if seq == 1:
                 await asyncio.sleep(1.0)
                 pipe.sent["server"].clear()
@@ -343,5 +346,5 @@
         return size(pipe.sent["server"])
 
     sent = run_paused(main()) / (rounds * lease_s / 2)
-    # 11 KB/s are what control may take at a gateway.
+    # The sessions of control may take 11 KB/s at a gateway.
     assert sent <= 11_000
--- a/tests/test_mesh_session.py
+++ b/tests/test_mesh_session.py
@@ -1,4 +1,4 @@
-"""Mesh members on real sockets: restarts, silent connections, lost control."""
+"""Mesh members on real sockets: restarts, silent connections, unreachable control."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Closable(Protocol):
-    """Something that starts and closes."""
+    """Something that can be started and closed."""
 
     def start(self) -> Awaitable[Any]: ...
 
@@ -30,7 +30,7 @@
         self._stack = stack
 
     async def add(self, closable: Closable) -> Any:
-        """Start it now and close it at the end."""
+        """Start ``closable`` now and close it at the end of the test."""
         self._stack.push_async_callback(closable.close)
         await closable.start()
         return closable
@@ -43,14 +43,14 @@
 
 
 def run(main: Callable[[Group], Awaitable[None]]) -> None:
-    async def inside() -> None:
+    async def enter_group() -> None:
         async with group() as members:
             await main(members)
 
-    asyncio.run(inside())
+    asyncio.run(enter_group())
 
 
-def test_all_learn_of_upstreams_and_of_the_configuration_and_control_hears_it():
+def test_records_and_configuration_reach_all_members_and_control_receives_acks():
     async def main(members: Group) -> None:
         control = await members.add(Member("control", "c1", revision=3))
         entry = await members.add(Member("entry", "e1", controls=(control.address,)))
@@ -70,14 +70,14 @@
     run(main)
 
 
-def test_a_restarted_sidecar_replaces_itself_and_a_changed_record_is_pushed():
+def test_a_restarted_sidecar_replaces_its_record_and_changes_are_sent_immediately():
     async def main(members: Group) -> None:
         entry = await members.add(Member("entry", "e1"))
         first = await members.add(Member("sidecar", "u1", entries=(entry.address,)))
         await until(lambda: entry.ready() == [("u1", first.incarnation)])
         await first.close()
         second = Member("sidecar", "u1", incarnation=2, entries=(entry.address,))
-        # A renewal by itself comes only after the bound of the last wait below.
+        # With this lease, no periodic renewal is sent before the last wait below ends.
         second.own = replace(second.own, lease_s=60.0)
         await members.add(second)
         await until(lambda: entry.ready() == [("u1", second.incarnation)], LEASE_S)
@@ -88,25 +88,27 @@
     run(main)
 
 
-def test_all_entries_restart_at_once_while_control_is_out_of_reach():
+def test_restarted_entries_recover_from_sidecars_while_control_is_unreachable():
     async def main(members: Group) -> None:
         control = await members.add(Member("control", "c1", revision=8))
         relay = await members.add(Relay(control.port))
-        known = {"controls": (relay.address,)}
-        entries = [await members.add(Member("entry", f"e{n}", **known)) for n in "12"]
-        known["entries"] = tuple(entry.address for entry in entries)
+        addresses = {"controls": (relay.address,)}
+        entries = [
+            await members.add(Member("entry", f"e{n}", **addresses)) for n in "12"
+        ]
+        addresses["entries"] = tuple(entry.address for entry in entries)
         for name in ("u1", "u2"):
-            sidecar = await members.add(Member("sidecar", name, **known))
+            sidecar = await members.add(Member("sidecar", name, **addresses))
             await until(lambda: sidecar.store.revision == 8)
         await relay.set_mode(RelayMode.CUT)
         ports = [entry.port for entry in entries]
         for entry in entries:
             await entry.close()
-        # Long enough for each sidecar to have failed more than once.
+        # Long enough for each sidecar to fail to reconnect more than once.
         await asyncio.sleep(1)
         fresh = [
             await members.add(
-                Member("entry", f"e{n}", incarnation=2, port=port, **known)
+                Member("entry", f"e{n}", incarnation=2, port=port, **addresses)
             )
             for n, port in enumerate(ports, 1)
         ]
@@ -117,7 +119,7 @@
     run(main)
 
 
-def test_a_sidecar_cut_from_control_learns_of_leaving_from_an_entry():
+def test_a_sidecar_without_control_receives_its_leaving_mark_from_an_entry():
     async def main(members: Group) -> None:
         control = await members.add(Member("control", "c1", revision=1))
         entry = await members.add(Member("entry", "e1", controls=(control.address,)))
@@ -133,7 +135,7 @@
     run(main)
 
 
-def test_a_silent_connection_is_replaced_while_the_others_go_on():
+def test_a_silent_connection_is_replaced_while_other_sessions_continue():
     async def main(members: Group) -> None:
         near, far = [await members.add(Member("entry", f"e{n}")) for n in "12"]
         relay = await members.add(Relay(far.port))
@@ -147,37 +149,37 @@
         await until(lambda: far.store.revision == 5)
         assert relay.accepted >= 2
         seq = sidecar.directory.records(0.0)[0].seq
-        await until(lambda: all(one.seq("u1") > seq for one in (near, far)))
+        await until(lambda: all(entry.seq("u1") > seq for entry in (near, far)))
         assert near.ready() == far.ready() == [("u1", sidecar.incarnation)]
 
     run(main)
 
 
-def test_a_stopped_sidecar_is_gone_from_all_that_pass_records_on():
+def test_no_member_propagates_the_record_of_a_stopped_sidecar():
     async def main(members: Group) -> None:
         control = await members.add(Member("control", "c1"))
-        known = {"controls": (control.address,)}
-        first = await members.add(Member("entry", "e1", **known))
-        known["entries"] = (first.address,)
-        second = await members.add(Member("entry", "e2", **known))
+        addresses = {"controls": (control.address,)}
+        first = await members.add(Member("entry", "e1", **addresses))
+        addresses["entries"] = (first.address,)
+        second = await members.add(Member("entry", "e2", **addresses))
         sidecar = await members.add(Member("sidecar", "u1", entries=(first.address,)))
         receivers = [control, first, second]
-        await until(lambda: all(one.ready() for one in receivers))
+        await until(lambda: all(receiver.ready() for receiver in receivers))
         await sidecar.close()
-        await until(lambda: not any(one.ready() for one in receivers))
+        await until(lambda: not any(receiver.ready() for receiver in receivers))
         await asyncio.sleep(0.5)
-        assert not any(one.directory.records(0.0) for one in receivers)
+        assert not any(receiver.directory.records(0.0) for receiver in receivers)
 
     run(main)
 
 
-def test_the_later_of_two_sidecars_with_one_name_wins_and_the_earlier_is_told():
+def test_the_newer_of_two_sidecars_with_one_name_wins_and_the_older_is_notified():
     async def main(members: Group) -> None:
         entry = await members.add(Member("entry", "e1"))
-        known = {"entries": (entry.address,)}
-        later = await members.add(Member("sidecar", "u1", incarnation=2, **known))
+        addresses = {"entries": (entry.address,)}
+        later = await members.add(Member("sidecar", "u1", incarnation=2, **addresses))
         await until(entry.ready)
-        earlier = await members.add(Member("sidecar", "u1", incarnation=1, **known))
+        earlier = await members.add(Member("sidecar", "u1", incarnation=1, **addresses))
         await until(lambda: earlier.ready() == [("u1", later.incarnation)])
         assert entry.ready() == [("u1", later.incarnation)]
 
@@ -201,7 +203,7 @@
     run(main)
 
 
-def test_an_entry_listed_under_another_address_does_not_keep_a_session_to_itself():
+def test_an_entry_stops_connecting_to_an_address_that_is_its_own():
     async def main(members: Group) -> None:
         relay = await members.add(Relay(0))
         entry = Member("entry", "e1", entries=(relay.address,))
--- a/tests/test_upstream_http.py
+++ b/tests/test_upstream_http.py
@@ -1,4 +1,4 @@
-"""Calls to the upstream, proved at the socket of a raw server."""
+"""Calls to an upstream, checked by what a raw server receives on its socket."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a test's body within a generous bound."""
+    """Run the body of a test; fail after ``BOUND_S`` seconds."""
     asyncio.run(asyncio.wait_for(main, BOUND_S))
 
 
@@ -35,8 +35,8 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE"])
-def test_the_library_by_itself_sends_again_on_a_reused_connection(method: str) -> None:
-    """What our client must not do; if this fails, the library has changed."""
+def test_the_library_resends_on_a_reused_connection_by_default(method: str) -> None:
+    """UpstreamCall prevents this resend; if this fails, the library has changed."""
 
     async def main() -> None:
         async with tiny_upstream(drop_all_but_warm_up) as upstream:
@@ -69,7 +69,7 @@
     run(main())
 
 
-def test_the_answer_to_a_cancelled_call_never_reaches_the_next_one() -> None:
+def test_the_response_to_a_cancelled_call_never_reaches_the_next_call() -> None:
     async def answer(req: Request, writer: Writer) -> None:
         await asyncio.sleep(0.2 if req.target == "/slow" else 0)
         await send_body(writer, req.target.encode())
@@ -89,7 +89,7 @@
     run(main())
 
 
-CUT_ANSWERS = {
+TRUNCATED_RESPONSES = {
     "length": b"content-length: 10\r\n\r\n12345",
     "chunk": b"transfer-encoding: chunked\r\n\r\na\r\n12345",
     "no last chunk": b"transfer-encoding: chunked\r\n\r\n5\r\n12345\r\n",
@@ -98,10 +98,10 @@
 }
 
 
-@pytest.mark.parametrize("name", CUT_ANSWERS)
-def test_an_answer_that_is_cut_short_is_never_taken_as_whole(name: str) -> None:
+@pytest.mark.parametrize("name", TRUNCATED_RESPONSES)
+def test_a_truncated_response_is_never_accepted_as_complete(name: str) -> None:
     async def answer(_req: Request, writer: Writer) -> None:
-        writer.write(b"HTTP/1.1 200 OK\r\n" + CUT_ANSWERS[name])
+        writer.write(b"HTTP/1.1 200 OK\r\n" + TRUNCATED_RESPONSES[name])
         await writer.drain()
         writer.close()
 
@@ -116,7 +116,7 @@
     run(main())
 
 
-def test_a_refused_connection_is_known_as_not_sent() -> None:
+def test_a_call_on_a_refused_connection_is_reported_as_not_sent() -> None:
     async def main() -> None:
         async with tiny_upstream(drop_all_but_warm_up) as upstream:
             pass
@@ -127,7 +127,7 @@
     run(main())
 
 
-def test_what_belongs_to_one_hop_is_not_passed_on() -> None:
+def test_hop_by_hop_headers_are_not_forwarded() -> None:
     async def answer(_req: Request, writer: Writer) -> None:
         writer.write(
             b"HTTP/1.1 201 Created\r\nkeep-alive: timeout=5\r\nset-cookie: a=1\r\n"
@@ -165,7 +165,7 @@
     run(main())
 
 
-def test_a_cancellation_that_meets_a_refused_connection_is_not_lost() -> None:
+def test_a_cancellation_as_the_connection_is_refused_is_not_lost() -> None:
     async def main() -> None:
         async with tiny_upstream(drop_all_but_warm_up) as upstream:
             pass
@@ -183,8 +183,8 @@
     run(main())
 
 
-def test_a_cancellation_that_meets_the_connecting_is_not_lost() -> None:
-    """In Python 3.11 ``wait_for`` drops it if its work ends in the same step."""
+def test_a_cancellation_as_the_connection_opens_is_not_lost() -> None:
+    """``wait_for`` of Python 3.11 drops it if connecting ends in the same loop step."""
 
     async def answer(_req: Request, _writer: Writer) -> None:
         await asyncio.sleep(BOUND_S)
--- a/tests/test_work_gossip.py
+++ b/tests/test_work_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip between gateways over real datagrams: what goes out, and how often."""
+"""Work reports between gateways over real datagrams: their content and their rate."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from gooseberrydale.connection.gateway_datagrams import GatewayDatagrams
 from gooseberrydale.connection.work_gossip import (
-    DATAGRAMS_PER_S,
     GATHER_S,
+    MAX_DATAGRAMS_PER_S,
     WorkGossip,
 )
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
@@ -30,9 +30,9 @@
 
     now: dict[str, UpstreamWork] = field(default_factory=dict)
     refused: tuple[str, ...] = ()
-    heard: list[str] = field(default_factory=list)
+    reported_refusing: list[str] = field(default_factory=list)
     dead: tuple[str, ...] = ()
-    heard_dead: set[str] = field(default_factory=set)
+    reported_dead: set[str] = field(default_factory=set)
 
     def works(self) -> tuple[UpstreamWork, ...]:
         return tuple(self.now.values())
@@ -41,17 +41,17 @@
         return self.refused
 
     def peer_refused(self, names: Collection[str], now: float) -> None:
-        self.heard += names
+        self.reported_refusing += names
 
     def silent(self, now: float) -> tuple[str, ...]:
         return self.dead
 
     def peer_silent(self, names: Collection[str], now: float) -> None:
-        self.heard_dead |= set(names)
+        self.reported_dead |= set(names)
 
 
 class CountedLoads(PeerLoads):
-    """Peer loads that keep what came."""
+    """Peer loads that also store each received report."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -63,8 +63,8 @@
 
 
 @dataclass
-class Teller:
-    """A gateway with its socket, one of a fleet that tells itself everything."""
+class ReportingGateway:
+    """A gateway with its socket, in a fleet whose gateways report to each other."""
 
     fleet: Fleet
     loads: PeerLoads
@@ -90,18 +90,18 @@
     return GatewayPeer(name, f"127.0.0.1:{free_port()}", "z1")
 
 
-def test_a_change_is_told_at_once_and_alone() -> None:
+def test_a_change_is_reported_soon_and_without_unchanged_work() -> None:
     async def main() -> None:
         peers = [peer("g0"), peer("g1")]
         loads = [CountedLoads(), CountedLoads()]
-        tellers = [
-            Teller(Fleet(peers[0], (peers[1],)), loads[0]),
-            Teller(Fleet(peers[1], (peers[0],)), loads[1]),
+        gateways = [
+            ReportingGateway(Fleet(peers[0], (peers[1],)), loads[0]),
+            ReportingGateway(Fleet(peers[1], (peers[0],)), loads[1]),
         ]
-        views = [teller.view for teller in tellers]
-        gossips = [teller.gossip for teller in tellers]
-        for teller in tellers:
-            await teller.start()
+        views = [gateway.view for gateway in gateways]
+        gossips = [gateway.gossip for gateway in gateways]
+        for gateway in gateways:
+            await gateway.start()
         for number in range(3):
             views[0].now[f"u{number}"] = UpstreamWork(f"u{number}", 1, 10, 20)
             gossips[0].changed()
@@ -110,27 +110,27 @@
         views[0].refused, views[0].dead = ("u9",), ("u8",)
         gossips[0].changed()
         await asyncio.sleep(10 * GATHER_S)
-        for teller in tellers:
-            await teller.close()
-        told = [report.works for report in loads[1].reports]
-        assert [len(works) for works in told] == [1, 1, 1, 1]
-        held = [loads[1].at(f"u{number}").requests for number in range(3)]
-        assert (held, views[1].heard) == ([0, 1, 1], ["u9"])
-        assert views[1].heard_dead == {"u8"}
+        for gateway in gateways:
+            await gateway.close()
+        reported = [report.works for report in loads[1].reports]
+        assert [len(works) for works in reported] == [1, 1, 1, 1]
+        requests = [loads[1].at(f"u{number}").requests for number in range(3)]
+        assert (requests, views[1].reported_refusing) == ([0, 1, 1], ["u9"])
+        assert views[1].reported_dead == {"u8"}
 
     run(main())
 
 
 def test_with_many_gateways_changes_are_gathered() -> None:
-    """Each change told at once would take the processors of a large deployment."""
+    """A report per change would overload the processors of a large deployment."""
 
     async def main() -> None:
         target, loads = peer("other"), CountedLoads()
-        receiver = Teller(Fleet(target), loads)
+        receiver = ReportingGateway(Fleet(target), loads)
         peers = 40
-        # All of them listen at the address of one, which counts what comes.
+        # All of them have the address of one receiver, which counts the datagrams.
         others = tuple(replace(target, name=f"g{n}") for n in range(peers))
-        sender = Teller(Fleet(peer("own"), others), PeerLoads())
+        sender = ReportingGateway(Fleet(peer("own"), others), PeerLoads())
         view, gossip = sender.view, sender.gossip
         await receiver.start()
         await sender.start()
@@ -141,11 +141,11 @@
             view.now["u1"] = UpstreamWork("u1", count, 0, 0)
             gossip.changed()
             await asyncio.sleep(0.002)
-        await asyncio.sleep(2 * peers / DATAGRAMS_PER_S)
+        await asyncio.sleep(2 * peers / MAX_DATAGRAMS_PER_S)
         await sender.close()
         await receiver.close()
         reports = len(loads.reports)
-        assert 2 * peers <= reports <= DATAGRAMS_PER_S * (PLAY_S + 0.3) + peers
+        assert 2 * peers <= reports <= MAX_DATAGRAMS_PER_S * (PLAY_S + 0.3) + peers
         assert loads.at("u1").requests == count
 
     run(main())
