--- a/gooseberrydale/connection/http_pool.py
+++ b/gooseberrydale/connection/http_pool.py
@@ -19,9 +19,8 @@
 the outcome of the request would be unknown."""
 
 MAX_IDLE_PER_UPSTREAM = 16
-"""Most idle connections to one upstream.  The bound exceeds the number of requests that
-one entry sends it concurrently, and is a small fraction of the connections that the
-upstream accepts."""
+"""Most idle connections to one upstream.  This is more than the requests that one entry
+sends it concurrently, and a small fraction of the connections that it accepts."""
 
 Key = tuple[str, str]
 
--- a/gooseberrydale/connection/mesh_session.py
+++ b/gooseberrydale/connection/mesh_session.py
@@ -281,7 +281,7 @@
         if pending_until is not None:
             self._alarm.by(pending_until)
             return
-        # If this request is not answered, other sessions may make the next one.
+        # After an unanswered request, the other sessions may send the next one first.
         self._pulled_revision = self._peer_revision
         self._next_pull_at = now + 2 * self._node.timings.pull_s
         self._alarm.by(self._next_pull_at)
--- a/gooseberrydale/connection/sse.py
+++ b/gooseberrydale/connection/sse.py
@@ -2,7 +2,7 @@
 
 Each answer of an upstream has its own parser.  :class:`SseParser` returns only the data
 fields: upstreams with this project's own interface use no other field, and the entry
-assigns the event ids itself.  :class:`EventCutter` returns the events byte for byte.
+assigns the event ids itself.  :class:`EventSplitter` returns the events byte for byte.
 """
 
 from __future__ import annotations
@@ -43,15 +43,15 @@
         *lines, self._remainder = (self._remainder + data).split(b"\n")
         events = []
         for line in lines:
-            event = self._take_line(line.removesuffix(b"\r"))
+            event = self._parse_line(line.removesuffix(b"\r"))
             if event is not None:
                 events.append(event)
         self._check_size()
         return events
 
-    def _take_line(self, line: bytes) -> bytes | None:
+    def _parse_line(self, line: bytes) -> bytes | None:
         if line:
-            self._take_field(line)
+            self._parse_field(line)
             return None
         if not self._lines:
             return None
@@ -59,7 +59,7 @@
         self._lines = []
         return event
 
-    def _take_field(self, line: bytes) -> None:
+    def _parse_field(self, line: bytes) -> None:
         name, _, value = line.partition(b":")
         if name == b"data":
             self._lines.append(value.removeprefix(b" "))
