--- a/gooseberrydale/connection/http_conn.py
+++ b/gooseberrydale/connection/http_conn.py
@@ -29,8 +29,8 @@
 all its streams would be aborted."""
 
 DEFAULT_IDLE_S = 0.3
-"""Assumed idle time of an upstream without a ``Keep-Alive`` header.  It may be less than
-a second, which an upstream can't state because the header counts whole seconds."""
+"""Assumed idle time of an upstream without a ``Keep-Alive`` header.  It may be less
+than a second, which the header can't state because it counts whole seconds."""
 
 IDLE_MARGIN_S = 0.4
 """Reuse of a connection ends this long before its upstream would close it: the time
