--- a/gooseberrydale/process/entry/__init__.py
+++ b/gooseberrydale/process/entry/__init__.py
@@ -1,6 +1,6 @@
-"""The entry role: serves callers over HTTP and hands their requests to sidecars.
+"""The entry role: serves callers over HTTP and forwards their requests to sidecars.
 
-Lives as long as the process and keeps nothing that a restart may lose.
+An entry holds no state that must survive a restart.
 """
 
 from gooseberrydale.process.entry.entry import Entry
--- a/gooseberrydale/process/entry/app.py
+++ b/gooseberrydale/process/entry/app.py
@@ -1,4 +1,4 @@
-"""The HTTP interface for callers: its paths and what each does."""
+"""The HTTP interface for callers: routes, and the handlers of the model list."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     ProblemError,
     problem,
 )
-from gooseberrydale.process.entry.calls import Calls, may_call
+from gooseberrydale.process.entry.calls import CallHandlers, may_call
 from gooseberrydale.process.entry.responses import JSON_TYPE, refusal
 from gooseberrydale.process.instruments import Instruments
 from gooseberrydale.request.body import CHAT_PATH, TEXT_PATH
@@ -33,15 +33,18 @@
 Handler = Callable[[Request, Send], Awaitable[None]]
 
 
-class _Endpoint:
-    """Runs a handler that sends its own answer."""
+class _HandlerEndpoint:
+    """ASGI endpoint whose handler sends the response itself.
+
+    A :class:`ProblemError` that the handler raises becomes an error response.
+    """
 
     def __init__(self, handler: Handler, instruments: Instruments) -> None:
         self._handler = handler
         self._instruments = instruments
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Handle one request."""
         req = Request(scope, receive)
         try:
             await self._handler(req, send)
@@ -53,25 +56,30 @@
             return
 
 
-def make_app(calls: Calls, instruments: Instruments, extra: list[Route]) -> Starlette:
-    """The application; ``extra`` are the routes for balancer and monitoring."""
+def make_app(
+    calls: CallHandlers, instruments: Instruments, extra: list[Route]
+) -> Starlette:
+    """Build the application.
+
+    ``extra`` holds the routes for load balancers and monitoring.
+    """
 
     async def models(req: Request, send: Send) -> None:
         workspace = await calls.authenticate(req)
-        data = [_model(p) for p in _visible(calls, workspace)]
+        data = [_model_object(p) for p in _visible_profiles(calls, workspace)]
         await _send_json(req, send, {"object": "list", "data": data})
 
     async def model(req: Request, send: Send) -> None:
         workspace = await calls.authenticate(req)
-        wanted = req.path_params["name"]
-        for profile in _visible(calls, workspace):
-            if profile.name == wanted:
-                await _send_json(req, send, _model(profile))
+        profile_name = req.path_params["name"]
+        for profile in _visible_profiles(calls, workspace):
+            if profile.name == profile_name:
+                await _send_json(req, send, _model_object(profile))
                 return
-        raise ProblemError(problem(UNKNOWN_PROFILE, profile=wanted))
+        raise ProblemError(problem(UNKNOWN_PROFILE, profile=profile_name))
 
-    def endpoint(handler: Handler) -> _Endpoint:
-        return _Endpoint(handler, instruments)
+    def endpoint(handler: Handler) -> _HandlerEndpoint:
+        return _HandlerEndpoint(handler, instruments)
 
     routes = [
         Route(CHAT_PATH, endpoint(calls.completion), methods=["POST"]),
@@ -87,31 +95,37 @@
     ]
     return Starlette(
         routes=[*routes, *extra],
-        exception_handlers={HTTPException: _no_route, Exception: _internal},
+        exception_handlers={
+            HTTPException: _handle_http_error,
+            Exception: _handle_fault,
+        },
     )
 
 
-async def _no_route(req: Request, exc: Exception) -> Response:
+async def _handle_http_error(req: Request, exc: Exception) -> Response:
     assert isinstance(exc, HTTPException)
     kind = NO_ROUTE if exc.status_code == NOT_FOUND else WRONG_METHOD
-    why = problem(kind, method=req.method, path=req.url.path)
-    response = refusal(why, req.state.request_id)
+    reason = problem(kind, method=req.method, path=req.url.path)
+    response = refusal(reason, req.state.request_id)
     response.headers.update(exc.headers or {})
     return response
 
 
-async def _internal(req: Request, _exc: Exception) -> Response:
-    """Replace the framework's own answer to a fault; the fault is logged outside."""
+async def _handle_fault(req: Request, _exc: Exception) -> Response:
+    """Answer an unhandled exception without details.
+
+    The entry's middleware logs the exception.
+    """
     return refusal(problem(INTERNAL, not_run=None), req.state.request_id)
 
 
-def _visible(calls: Calls, workspace: Workspace) -> list[Profile]:
+def _visible_profiles(calls: CallHandlers, workspace: Workspace) -> list[Profile]:
     profiles = calls.config.profiles.values()
-    found = [p for p in profiles if may_call(workspace, p)]
-    return [p for p in found if p.kind is ProfileKind.COMPLETION]
+    allowed = [p for p in profiles if may_call(workspace, p)]
+    return [p for p in allowed if p.kind is ProfileKind.COMPLETION]
 
 
-def _model(profile: Profile) -> dict[str, object]:
+def _model_object(profile: Profile) -> dict[str, object]:
     return {"id": profile.name, "object": "model", "created": 0, "owned_by": OWNER}
 
 
--- a/gooseberrydale/process/entry/call.py
+++ b/gooseberrydale/process/entry/call.py
@@ -1,8 +1,8 @@
-"""One caller's call: sends the parts of an answer, until whole, gone or handed over.
+"""Sends the answer to one caller's request over HTTP.
 
-Lives for one request.  The work runs in a task of its own, so that it can be ended
-between two events: when the caller goes away, or when the process shuts down and
-the answer goes on elsewhere.
+The answer is produced and sent in a task of its own, which is cancelled between two
+events when the caller disconnects, or when the entry shuts down and the caller is to
+continue the stream at another entry.
 """
 
 from __future__ import annotations
@@ -47,15 +47,15 @@
     "x-request-id",
 }
 DONE_EVENT = b"data: [DONE]\n\n"
-COME_BACK_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class CallInfo:
-    """What is said of a call beside its answer.
+    """Identifies a request in responses and metrics.
 
-    ``may_resend`` says that the caller may send the same call again, since it may
-    be repeated or carries an Idempotency-Key.
+    ``may_resend`` is true if the caller may safely send the same request again: it is
+    repeatable or carries an Idempotency-Key.
     """
 
     request_id: str
@@ -64,7 +64,7 @@
 
 
 class Call:
-    """Sends one answer; ``serve`` it once."""
+    """Sends the answer to one request; call ``serve`` once."""
 
     def __init__(
         self,
@@ -85,27 +85,29 @@
         self._last_id: EventId | None = None
         self._handing_over = False
         self._started_at = asyncio.get_running_loop().time()
-        self._has_text = False
+        self._has_sent_data = False
 
     async def serve(self) -> None:
-        """Run until the answer is sent, the caller is gone or it is handed over."""
+        """Send the answer, unless the caller disconnects or the call is handed over."""
         self._task = asyncio.create_task(self._run())
-        gone = asyncio.create_task(self._wait_gone())
+        disconnect = asyncio.create_task(self._wait_for_disconnect())
         try:
-            await asyncio.wait({self._task, gone}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                {self._task, disconnect}, return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
-            gone.cancel()
+            disconnect.cancel()
             self._task.cancel()
-            await asyncio.gather(gone, self._task, return_exceptions=True)
+            await asyncio.gather(disconnect, self._task, return_exceptions=True)
         if not self._task.cancelled():
             self._task.result()
         elif self._handing_over:
-            await self._end_handed_over()
+            await self._end_after_hand_over()
         else:
             self._count("caller_gone")
 
     def hand_over(self) -> None:
-        """End the call here, so that the caller can go on at another entry."""
+        """End the call, so that the caller can continue at another entry."""
         self._handing_over = True
         if self._is_streaming or not self._info.may_resend:
             self._source.hand_over()
@@ -122,7 +124,7 @@
                 async for part in parts:
                     await self._send_part(part)
         except ProblemError as exc:
-            await self._end_failed(exc.problem)
+            await self._end_with_error(exc.problem)
             return
         if self._is_streaming:
             await self._send_body(DONE_EVENT, more=False)
@@ -136,66 +138,66 @@
         elif self._is_streaming:
             await self._send_events(part)
         else:
-            await self._send_whole(part)
+            await self._send_complete(part)
 
     async def _send_events(self, part: Events) -> None:
         if not part.events:
             return
         lines = []
         for offset, event in enumerate(part.events, part.offset):
-            name = EventId(
+            event_id = EventId(
                 part.upstream, part.incarnation, self._info.request_id, offset
             )
-            lines.append(b"id: %b\ndata: %b\n\n" % (str(name).encode(), event))
+            lines.append(b"id: %b\ndata: %b\n\n" % (str(event_id).encode(), event))
         data = b"".join(lines)
         await self._send_body(data, more=True)
-        self._last_id = name
-        self._note_sent(len(data))
+        self._last_id = event_id
+        self._record_sent(len(data))
 
-    async def _send_whole(self, part: Events) -> None:
+    async def _send_complete(self, part: Events) -> None:
         assert self._head is not None
         body = b"".join(part.events)
-        self._note_sent(len(body))
+        self._record_sent(len(body))
         response = Response(body, status_code=self._head.status)
         for name, value in self._head.headers:
             if name.lower() not in DROPPED_HEADERS:
                 response.headers.append(name, value)
         await response(self._scope, self._receive, self._send)
 
-    def _note_sent(self, size: int) -> None:
+    def _record_sent(self, size: int) -> None:
         tally = self._instruments.tally
         tally.chunks += 1
         tally.chunk_bytes += size
-        if not self._has_text:
-            self._has_text = True
-            waited_s = asyncio.get_running_loop().time() - self._started_at
-            self._instruments.observe_ttft(self._info.profile, waited_s)
+        if not self._has_sent_data:
+            self._has_sent_data = True
+            elapsed_s = asyncio.get_running_loop().time() - self._started_at
+            self._instruments.observe_ttft(self._info.profile, elapsed_s)
 
     def _count(self, outcome: str) -> None:
         self._instruments.count_request(self._info.profile, outcome)
 
-    async def _end_failed(self, why: Problem) -> None:
-        self._count(why.code)
+    async def _end_with_error(self, reason: Problem) -> None:
+        self._count(reason.code)
         if self._is_streaming:
-            await self._send_body(self._error_event(why), more=False)
+            await self._send_body(self._error_event(reason), more=False)
             return
-        response = refusal(why, self._info.request_id)
+        response = refusal(reason, self._info.request_id)
         await response(self._scope, self._receive, self._send)
 
-    async def _end_handed_over(self) -> None:
+    async def _end_after_hand_over(self) -> None:
         if self._is_streaming:
-            why = problem(STREAM_HANDED_OVER, not_run=False, retry_after_s=0.0)
+            reason = problem(STREAM_HANDED_OVER, not_run=False, retry_after_s=0.0)
         elif self._info.may_resend:
-            why = problem(SHUTTING_DOWN, not_run=None, retry_after_s=COME_BACK_S)
+            reason = problem(SHUTTING_DOWN, not_run=None, retry_after_s=RETRY_AFTER_S)
         else:
-            why = problem(OUTCOME_UNKNOWN, not_run=None)
-        await self._end_failed(why)
+            reason = problem(OUTCOME_UNKNOWN, not_run=None)
+        await self._end_with_error(reason)
 
-    def _error_event(self, why: Problem) -> bytes:
-        data = msgspec.json.encode(error_object(why, self._info.request_id))
-        # Repeating the last id keeps it the client's last event id.
-        mark = f"id: {self._last_id}\n".encode() if self._last_id else b""
-        return b"%bdata: %b\n\n" % (mark, data)
+    def _error_event(self, reason: Problem) -> bytes:
+        data = msgspec.json.encode(error_object(reason, self._info.request_id))
+        # Without an id the client could not resume after its last data event.
+        id_line = f"id: {self._last_id}\n".encode() if self._last_id else b""
+        return b"%bdata: %b\n\n" % (id_line, data)
 
     async def _send_start(self) -> None:
         await self._send(
@@ -211,6 +213,6 @@
             {"type": "http.response.body", "body": body, "more_body": more}
         )
 
-    async def _wait_gone(self) -> None:
+    async def _wait_for_disconnect(self) -> None:
         while (await self._receive())["type"] != "http.disconnect":
             pass
--- a/gooseberrydale/process/entry/calls.py
+++ b/gooseberrydale/process/entry/calls.py
@@ -1,6 +1,6 @@
-"""Callers' requests: authenticated, checked, and run.
+"""Handlers of callers' requests: authenticate, validate, and run them.
 
-Lives as long as the process; each request runs in the task of its connection.
+One :class:`CallHandlers` per process; each request runs in the task of its connection.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 IDEMPOTENCY_KEY = "idempotency-key"
 LAST_EVENT_ID = "last-event-id"
-COME_BACK_S = 1.0
+RETRY_AFTER_S = 1.0
 PRIVATE_HEADERS = {
     "accept-encoding",
     "authorization",
@@ -61,8 +61,8 @@
 }
 
 
-class Calls:
-    """Handlers of the paths that run work."""
+class CallHandlers:
+    """Handlers of the HTTP paths that run work or attach to running work."""
 
     def __init__(self, deps: Deps, claims: ClaimStore) -> None:
         self._deps = deps
@@ -72,29 +72,35 @@
 
     @property
     def config(self) -> Config:
-        """The configuration in force."""
+        """The current configuration."""
         return self._deps.store.config
 
     def hand_over(self) -> None:
-        """End all open calls so that callers go on elsewhere."""
+        """End all open calls, so that callers can continue at another entry."""
         for call in tuple(self._open):
             call.hand_over()
 
     async def authenticate(self, req: Request) -> Workspace:
-        """The workspace of the caller's key; raises :class:`ProblemError`."""
+        """Return the workspace of the caller's key.
+
+        Raises :class:`ProblemError` without a configuration or if the key is invalid.
+        """
         await self._deps.freshness.wait_for(lambda: self.config.revision > 0)
         if self.config.revision == 0:
-            raise ProblemError(problem(NOT_READY, retry_after_s=COME_BACK_S))
+            raise ProblemError(problem(NOT_READY, retry_after_s=RETRY_AFTER_S))
         if self._keys.config is not self.config:
             self._keys = KeyIndex(self.config)
-        return _ok(self._keys.workspace(req.headers.get("authorization", "")))
+        return _unwrap(self._keys.workspace(req.headers.get("authorization", "")))
 
     async def completion(self, req: Request, send: Send) -> None:
-        """Run a chat or text completion, or attach to a running one."""
+        """Run a chat or text completion.
+
+        With a Last-Event-ID header, attach to the stream that it names instead.
+        """
         workspace = await self.authenticate(req)
         body = await self._read_body(req)
-        checked = _ok(parse_completion(req.url.path, body))
-        profile = self._profile(workspace, checked.model, ProfileKind.COMPLETION)
+        completion = _unwrap(parse_completion(req.url.path, body))
+        profile = self._profile(workspace, completion.model, ProfileKind.COMPLETION)
         if LAST_EVENT_ID in req.headers:
             await self._attach(req, send, workspace, profile)
             return
@@ -104,19 +110,19 @@
             profile=profile,
             method=req.method,
             path=req.url.path,
-            body=checked.for_model(profile.model),
+            body=completion.for_model(profile.model),
             headers=(("content-type", "application/json"),),
-            stream=checked.stream,
+            stream=completion.stream,
             idempotency_key=_claim_key(req, profile),
-            single=checked.single,
-            wants_usage=checked.wants_usage,
-            pieces=prompt_pieces(req.url.path, checked.raw),
-            max_new_tokens=checked.max_new_tokens,
+            single=completion.single,
+            wants_usage=completion.wants_usage,
+            pieces=prompt_pieces(req.url.path, completion.raw),
+            max_new_tokens=completion.max_new_tokens,
         )
         await self._run(job, req, send)
 
     async def service(self, req: Request, send: Send) -> None:
-        """Run a call of a plain service."""
+        """Forward a request to a service profile."""
         workspace = await self.authenticate(req)
         name = req.path_params["profile"]
         profile = self._profile(workspace, name, ProfileKind.SERVICE)
@@ -134,51 +140,51 @@
         await self._run(job, req, send)
 
     async def attach(self, req: Request, send: Send) -> None:
-        """Attach to a running stream by its last event's id alone."""
+        """Attach to a running stream; the Last-Event-ID header alone names it."""
         workspace = await self.authenticate(req)
         await self._attach(req, send, workspace, None)
 
     async def _attach(
         self, req: Request, send: Send, workspace: Workspace, profile: Profile | None
     ) -> None:
-        last = _ok(parse_event_id(req.headers.get(LAST_EVENT_ID, "")))
-        await self._deps.freshness.wait_for(lambda: self._keeps(last))
-        record = self._deps.directory.get(last.upstream, _now())
-        if record is None or record.incarnation != last.incarnation:
+        last_event = _unwrap(parse_event_id(req.headers.get(LAST_EVENT_ID, "")))
+        await self._deps.freshness.wait_for(lambda: self._is_upstream_known(last_event))
+        record = self._deps.directory.get(last_event.upstream, _now())
+        if record is None or record.incarnation != last_event.incarnation:
             raise ProblemError(
                 problem(
                     UNKNOWN_STREAM,
                     not_run=None,
-                    request_id=last.request_id,
-                    offset=last.offset + 1,
+                    request_id=last_event.request_id,
+                    offset=last_event.offset + 1,
                 )
             )
         name = profile.name if profile else self._only_profile(workspace, record.pool)
         target = AttachTarget(
             endpoint=record,
             upstream=record.name,
-            request_id=last.request_id,
-            offset=last.offset + 1,
+            request_id=last_event.request_id,
+            offset=last_event.offset + 1,
             workspace=workspace.name,
             profile=name,
         )
-        call = CallInfo(last.request_id, name, may_resend=True)
-        await self._serve(AttachedAnswer(self._deps, target), call, req, send)
+        info = CallInfo(last_event.request_id, name, may_resend=True)
+        await self._serve(AttachedAnswer(self._deps, target), info, req, send)
 
     async def _run(self, job: Job, req: Request, send: Send) -> None:
         may_resend = job.profile.repeatable or bool(job.idempotency_key)
         info = CallInfo(job.request_id, job.profile.name, may_resend)
-        await self._serve(self._answering(job), info, req, send)
+        await self._serve(self._answer_source(job), info, req, send)
 
-    def _answering(self, job: Job) -> Answering:
+    def _answer_source(self, job: Job) -> Answering:
         if job.idempotency_key:
             return KeyedAnswer(self._deps, job, self._claims)
         return Runner(self._deps, job, OpenGate())
 
     async def _serve(
-        self, answer: Answering, info: CallInfo, req: Request, send: Send
+        self, source: Answering, info: CallInfo, req: Request, send: Send
     ) -> None:
-        call = Call(answer, info, self._deps.instruments, req, send)
+        call = Call(source, info, self._deps.instruments, req, send)
         self._open.add(call)
         try:
             await call.serve()
@@ -187,7 +193,7 @@
 
     async def _read_body(self, req: Request) -> bytes:
         cfg = self._deps.cfg
-        return _ok(await read_body(req, cfg.max_body_bytes, cfg.body_timeout_s))
+        return _unwrap(await read_body(req, cfg.max_body_bytes, cfg.body_timeout_s))
 
     def _profile(self, workspace: Workspace, name: str, kind: ProfileKind) -> Profile:
         profile = self.config.profiles.get(name)
@@ -204,22 +210,25 @@
         return profile
 
     def _only_profile(self, workspace: Workspace, pool: str) -> str:
-        """Name of the one profile of ``pool`` that the workspace may call, if one."""
+        """The name of the profile of ``pool`` that the workspace may call.
+
+        Empty unless there is exactly one.
+        """
         profiles = self.config.profiles.values()
         names = [p.name for p in profiles if p.pool == pool and may_call(workspace, p)]
         return names[0] if len(names) == 1 else ""
 
-    def _keeps(self, last: EventId) -> bool:
-        record = self._deps.directory.get(last.upstream, _now())
-        return record is not None and record.incarnation == last.incarnation
+    def _is_upstream_known(self, last_event: EventId) -> bool:
+        record = self._deps.directory.get(last_event.upstream, _now())
+        return record is not None and record.incarnation == last_event.incarnation
 
 
 def may_call(workspace: Workspace, profile: Profile) -> bool:
-    """Whether ``profile`` is open to ``workspace``."""
+    """Whether ``workspace`` may call ``profile``; an empty list allows all profiles."""
     return not workspace.profiles or profile.name in workspace.profiles
 
 
-def _ok(result: Result[T, Problem]) -> T:
+def _unwrap(result: Result[T, Problem]) -> T:
     if isinstance(result, Err):
         raise ProblemError(result.err_value)
     return result.ok_value
@@ -230,12 +239,12 @@
 
 
 def _claim_key(req: Request, profile: Profile) -> str:
-    """The key under which a call is claimed; what may be repeated needs no claim."""
+    """The key under which a request is claimed; repeatable requests need no claim."""
     return "" if profile.repeatable else req.headers.get(IDEMPOTENCY_KEY, "")
 
 
 def _service_path(req: Request) -> str:
-    """Path below the profile's name as the caller wrote it, with its query."""
+    """The path below the profile's name, as the caller sent it, with its query."""
     raw: bytes = req.scope.get("raw_path") or req.scope["path"].encode()
     path = "/" + raw.decode("latin-1").split("/", 3)[3]
     query = req.scope["query_string"].decode("latin-1")
--- a/gooseberrydale/process/entry/entry.py
+++ b/gooseberrydale/process/entry/entry.py
@@ -1,4 +1,4 @@
-"""Builds the parts of an entry, starts them, and shuts them down in order."""
+"""Builds the components of an entry, starts them, and shuts them down in order."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from gooseberrydale.process.cfg import Cfg, EntryCfg
 from gooseberrydale.process.cfg_file import read_token
 from gooseberrydale.process.entry.app import make_app
-from gooseberrydale.process.entry.calls import Calls
-from gooseberrydale.process.entry.gatekeeper import Gatekeeper, Phase
+from gooseberrydale.process.entry.calls import CallHandlers
+from gooseberrydale.process.entry.gatekeeper import EntryMiddleware, Phase
 from gooseberrydale.process.entry.quota_link import QuotaLink, entry_fleet
 from gooseberrydale.process.http_server import HttpServer
 from gooseberrydale.process.membership import Mesh
@@ -37,16 +37,19 @@
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 from gooseberrydale.version.quotas.quota import Quota
 
-UNREADY_SHARE = 0.1
-UNREADY_MAX_S = 2.0
-LAST_ANSWERS_S = 2.0
+# How long the first two phases of a shutdown last: this fraction of the drain time,
+# up to the maximum.
+UNREADY_FRACTION = 0.1
+MAX_UNREADY_S = 2.0
+# Time for the final answers of calls that were handed over.
+FINAL_ANSWERS_S = 2.0
 DRAIN_POLL_S = 0.02
 OK = 200
 UNAVAILABLE = 503
 
 
 class Entry:
-    """One entry instance; ``start`` it once and ``close`` it gracefully."""
+    """One entry process; ``start`` once, and ``close`` to drain and stop."""
 
     def __init__(self, cfg: Cfg, rng: random.Random | None = None) -> None:
         if cfg.entry is None:
@@ -75,8 +78,8 @@
             ended_incarnations=self.ended_incarnations,
         )
         self._mesh.register(self._rpc)
-        self._quotas_of = self.store.config
-        self._quotas_in_force: dict[str, Quota] = {}
+        self._quotas_config = self.store.config
+        self._current_quotas: dict[str, Quota] = {}
         self._background = Background()
         self._quota_link = QuotaLink(self._dial, self._background)
         self._quota_link.register(self._rpc)
@@ -96,29 +99,29 @@
         self._claims = ControlClient(
             cfg.fleet.controls, self._token, self._tls, self._rng
         )
-        self._calls: Calls | None = None
-        self._keeper: Gatekeeper | None = None
+        self._calls: CallHandlers | None = None
+        self._middleware: EntryMiddleware | None = None
         self._http: HttpServer | None = None
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Addresses in use by listener, ``http`` and ``rpc``."""
+        """The address of each listener, with its real port: ``http`` and ``rpc``."""
         host = self._cfg.rpc.rpartition(":")[0]
         http = self._http.address if self._http is not None else self._cfg.http
         return {"http": http, "rpc": f"{host}:{self._rpc.port}"}
 
     @property
     def metrics(self) -> Metrics:
-        """The instruments of this entry."""
+        """The metrics of this entry."""
         return self._metrics
 
     @property
     def phase(self) -> Phase:
-        """How far a shutdown has come."""
-        return Phase.SERVING if self._keeper is None else self._keeper.phase
+        """The phase of the shutdown."""
+        return Phase.SERVING if self._middleware is None else self._middleware.phase
 
     async def start(self) -> None:
-        """Serve; raises OSError if an address can't be bound."""
+        """Start serving; raises OSError if an address can't be bound."""
         now = asyncio.get_running_loop().time()
         freshness = Freshness(now)
         deps = Deps(
@@ -137,42 +140,45 @@
             ended_incarnations=self.ended_incarnations,
             quotas=self.quotas,
         )
-        self._calls = Calls(deps, self._claims)
+        self._calls = CallHandlers(deps, self._claims)
         routes = [Route("/livez", _livez), Route("/readyz", self._readyz)]
         if not self._has_metrics_listener:
             routes.append(self._metrics.route())
         app = make_app(self._calls, self._metrics.instruments, routes)
-        self._keeper = Gatekeeper(app, self._metrics.instruments, self._rng)
-        self._http = HttpServer(self._keeper, self._cfg.http, self._cfg.tls)
+        self._middleware = EntryMiddleware(app, self._metrics.instruments, self._rng)
+        self._http = HttpServer(self._middleware, self._cfg.http, self._cfg.tls)
         await self._rpc.start()
         await self._mesh.start()
         await self.quotas.start()
-        self._housekeeping = asyncio.create_task(self._keep_house(freshness))
+        self._housekeeping = asyncio.create_task(self._run_housekeeping(freshness))
         await self._http.start()
-        logger.info("entry serves on {}", self.addresses)
+        logger.info("entry listens on {}", self.addresses)
 
     async def close(self) -> None:
-        """Drain: unready, then refusing, then not listening, then handed over.
+        """Shut down gracefully.
 
-        A second call returns at once.
+        First the readiness check fails, then new requests are refused, then the
+        listener closes.  Calls that are still open at the end of the drain time are
+        ended, so that their callers can continue at another entry.  A second call
+        returns immediately.
         """
-        if self._http is None or self._keeper is None or self._calls is None:
+        if self._http is None or self._middleware is None or self._calls is None:
             return
-        if self._keeper.phase is not Phase.SERVING:
+        if self._middleware.phase is not Phase.SERVING:
             return
         now = asyncio.get_running_loop().time()
-        until = now + self._cfg.drain_s
-        pause_s = min(UNREADY_MAX_S, self._cfg.drain_s * UNREADY_SHARE)
-        self._keeper.phase = Phase.UNREADY
+        deadline = now + self._cfg.drain_s
+        pause_s = min(MAX_UNREADY_S, self._cfg.drain_s * UNREADY_FRACTION)
+        self._middleware.phase = Phase.UNREADY
         await asyncio.sleep(pause_s)
-        self._keeper.phase = Phase.REFUSING
+        self._middleware.phase = Phase.REFUSING
         await asyncio.sleep(pause_s)
         listener = asyncio.create_task(self._http.close(self._cfg.drain_s))
-        await self._drained(until)
+        await self._wait_until_drained(deadline)
         self._calls.hand_over()
-        await self._drained(until + LAST_ANSWERS_S)
+        await self._wait_until_drained(deadline + FINAL_ANSWERS_S)
         await asyncio.wait({listener})
-        await self._background.close(LAST_ANSWERS_S)
+        await self._background.close(FINAL_ANSWERS_S)
         if self._housekeeping is not None:
             self._housekeeping.cancel()
         await self.quotas.close()
@@ -185,20 +191,20 @@
         logger.info("entry closed")
 
     def _declared_quotas(self) -> dict[str, Quota]:
-        """The quotas in force, collected once a revision."""
-        if self._quotas_of is not self.store.config:
-            self._quotas_of = self.store.config
-            self._quotas_in_force = self._quotas_of.quotas
-        return self._quotas_in_force
-
-    async def _drained(self, until: float) -> None:
-        assert self._keeper is not None
+        """The current quotas; computed once per revision of the configuration."""
+        if self._quotas_config is not self.store.config:
+            self._quotas_config = self.store.config
+            self._current_quotas = self._quotas_config.quotas
+        return self._current_quotas
+
+    async def _wait_until_drained(self, deadline: float) -> None:
+        assert self._middleware is not None
         loop = asyncio.get_running_loop()
-        while self._keeper.open_requests and loop.time() < until:
+        while self._middleware.open_requests and loop.time() < deadline:
             await asyncio.sleep(DRAIN_POLL_S)
 
-    async def _keep_house(self, freshness: Freshness) -> None:
-        """Close channels of sidecars whose lease has ended; set the levels."""
+    async def _run_housekeeping(self, freshness: Freshness) -> None:
+        """Close channels to sidecars whose lease has expired; update the gauges."""
         loop = asyncio.get_running_loop()
         level = self._metrics.instruments.level
         while True:
@@ -209,19 +215,19 @@
             level.requests_quarantined = len(self.ended_incarnations.quarantined())
             level.cfg_revision = self.store.revision
             level.sessions = len(self._mesh.peers())
-            level.running = self._keeper.open_requests if self._keeper else 0
+            level.running = self._middleware.open_requests if self._middleware else 0
             await asyncio.sleep(TICK_S)
 
     def _dial(self, address: str) -> RpcChannel:
         return RpcChannel(address, self._token, self._tls)
 
     async def _readyz(self, _req: Request) -> Response:
-        reason = self._why_unready()
+        reason = self._unready_reason()
         if reason:
             return JSONResponse({"ready": False, "reason": reason}, UNAVAILABLE)
         return JSONResponse({"ready": True})
 
-    def _why_unready(self) -> str:
+    def _unready_reason(self) -> str:
         if self.phase is not Phase.SERVING:
             return "shutting down"
         if self.store.revision == 0:
--- a/gooseberrydale/process/entry/gatekeeper.py
+++ b/gooseberrydale/process/entry/gatekeeper.py
@@ -1,8 +1,9 @@
-"""The outermost layer of the HTTP interface: ids, draining, and faults.
+"""The outermost ASGI layer of an entry: request ids, draining, and faults.
 
-Every answer carries a request id.  While the process drains, answers ask the caller
-to open its next connection elsewhere; once it refuses, new requests get their final
-answer at once.  A fault of the router itself becomes an answer without details.
+Every response carries a request id.  While the process drains, responses ask the caller
+to close the connection, so that its next one goes to another entry; in the last phase
+new requests are refused immediately.  An unhandled exception is logged and answered
+without details.
 """
 
 from __future__ import annotations
@@ -26,20 +27,23 @@
 from gooseberrydale.process.instruments import Instruments
 
 ID_BITS = 128
-COME_BACK_S = 1.0
+RETRY_AFTER_S = 1.0
 ALWAYS_SERVED = {"/livez", "/readyz", "/metrics"}
 
 
 class Phase(enum.Enum):
-    """How far the shutdown has come."""
+    """The phase of the entry's shutdown.
+
+    While ``UNREADY`` the readiness check fails, but requests are still served.
+    """
 
     SERVING = "serving"
     UNREADY = "unready"
     REFUSING = "refusing"
 
 
-class Gatekeeper:
-    """Wraps the application; ``phase`` is set by the process."""
+class EntryMiddleware:
+    """Wraps the application; the entry sets ``phase`` during its shutdown."""
 
     def __init__(
         self, app: ASGIApp, instruments: Instruments, rng: random.Random
@@ -51,56 +55,58 @@
         self.open_requests = 0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Handle one request."""
         if scope["type"] != "http":
             return
-        answer = _Answer(f"{self._rng.getrandbits(ID_BITS):032x}", self, send)
-        scope.setdefault("state", {})["request_id"] = answer.request_id
+        response = _Response(f"{self._rng.getrandbits(ID_BITS):032x}", self, send)
+        scope.setdefault("state", {})["request_id"] = response.request_id
         self.open_requests += 1
         try:
-            await self._serve(answer, scope, receive)
+            await self._serve(response, scope, receive)
         finally:
             self.open_requests -= 1
 
-    async def _serve(self, answer: _Answer, scope: Scope, receive: Receive) -> None:
+    async def _serve(self, response: _Response, scope: Scope, receive: Receive) -> None:
         if self.phase is Phase.REFUSING and scope["path"] not in ALWAYS_SERVED:
-            why = problem(SHUTTING_DOWN, retry_after_s=COME_BACK_S)
-            self._instruments.count_refusal(why.code)
-            await answer.refuse(why, scope, receive)
+            reason = problem(SHUTTING_DOWN, retry_after_s=RETRY_AFTER_S)
+            self._instruments.count_refusal(reason.code)
+            await response.refuse(reason, scope, receive)
             return
         try:
-            await self._app(scope, receive, answer.send)
+            await self._app(scope, receive, response.send)
         except Exception as exc:
-            logger.bind(request_id=answer.request_id).exception("request failed")
-            if not answer.started:
-                await answer.refuse(problem(INTERNAL, not_run=None), scope, receive)
-            # Leaving the body open makes the caller see that it is not whole.
-            if not answer.complete or isinstance(exc, InvariantError):
+            logger.bind(request_id=response.request_id).exception("request failed")
+            if not response.started:
+                await response.refuse(problem(INTERNAL, not_run=None), scope, receive)
+            # Raising leaves the body unfinished: the caller sees that it is incomplete.
+            if not response.complete or isinstance(exc, InvariantError):
                 raise
 
 
-class _Answer:
-    """Adds the headers that every answer carries."""
+class _Response:
+    """Sends a response and adds the headers that every response carries."""
 
-    def __init__(self, request_id: str, keeper: Gatekeeper, send: Send) -> None:
+    def __init__(
+        self, request_id: str, middleware: EntryMiddleware, send: Send
+    ) -> None:
         self.request_id = request_id
         self.started = False
         self.complete = False
-        self._keeper = keeper
+        self._middleware = middleware
         self._send = send
 
     async def send(self, message: Message) -> None:
-        """Pass ``message`` on to the server."""
+        """Send ``message`` to the HTTP server."""
         if message["type"] == "http.response.start":
             self.started = True
             headers = MutableHeaders(scope=message)
             headers["x-request-id"] = self.request_id
-            if self._keeper.phase is not Phase.SERVING:
+            if self._middleware.phase is not Phase.SERVING:
                 headers["connection"] = "close"
         await self._send(message)
         if message["type"] == "http.response.body":
             self.complete = not message.get("more_body", False)
 
-    async def refuse(self, why: Problem, scope: Any, receive: Receive) -> None:
-        """Send the final answer to a request that is refused."""
-        await refusal(why, self.request_id)(scope, receive, self.send)
+    async def refuse(self, reason: Problem, scope: Any, receive: Receive) -> None:
+        """Send the error response to a refused request."""
+        await refusal(reason, self.request_id)(scope, receive, self.send)
--- a/gooseberrydale/process/entry/quota_link.py
+++ b/gooseberrydale/process/entry/quota_link.py
@@ -1,7 +1,7 @@
-"""Carries messages about quotas between entries, as calls of their gRPC listeners.
+"""Carries quota messages between entries, as calls to their gRPC listeners.
 
-Lives as long as the process.  A message may be lost, come late or out of order, as with
-datagrams: senders repeat what matters.
+As with datagrams, a message may be lost, delayed or reordered; the protocol above sends
+again whatever must arrive.
 """
 
 from __future__ import annotations
@@ -20,12 +20,14 @@
 
 T = TypeVar("T")
 
-CALL_S = 0.5
-"""Longer than a verdict is waited for; a call that takes longer carries nothing."""
+CALL_TIMEOUT_S = 0.5
+"""Longer than the quota client waits for a verdict: a message that is not delivered
+within this time is of no use.
+"""
 
 
 class QuotaLink:
-    """``send`` and ``on`` of a quota client; ``dial`` opens a channel to an address."""
+    """The transport of a quota client; ``dial`` opens a channel to an address."""
 
     def __init__(
         self, dial: Callable[[str], RpcChannel], background: Background
@@ -36,8 +38,8 @@
         self._handlers: dict[type[Any], Callable[[Any], None]] = {}
 
     def register(self, server: RpcServer) -> None:
-        """Take messages on ``server``; call before its ``start``."""
-        server.unary(QUOTA, self._take)
+        """Receive messages on ``server``; call before its ``start``."""
+        server.unary(QUOTA, self._receive)
 
     async def close(self) -> None:
         """Close the channels to other entries."""
@@ -45,11 +47,11 @@
         await asyncio.gather(*(channel.close() for channel in channels.values()))
 
     def on(self, kind: type[T], handler: Callable[[T], None]) -> None:
-        """Hand messages of ``kind`` to ``handler``."""
+        """Call ``handler`` for each received message of type ``kind``."""
         self._handlers[kind] = handler
 
     def send(self, message: object, peers: Iterable[GatewayPeer]) -> None:
-        """Send a message once, come what may."""
+        """Send a message to ``peers`` once, in the background; failures are ignored."""
         for peer in peers:
             self._background.spawn(self._call(peer.address, message))
 
@@ -58,12 +60,12 @@
         if channel is None:
             channel = self._channels[address] = self._dial(address)
         try:
-            await channel.call(QUOTA, message, timeout_s=CALL_S)
+            await channel.call(QUOTA, message, timeout_s=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError:
-            # Whoever waits for an answer asks again, or asks another owner.
+            # The sender retries, or asks another owner of the quota.
             return
 
-    async def _take(self, message: Any) -> QuotaTaken:
+    async def _receive(self, message: Any) -> QuotaTaken:
         handler = self._handlers.get(type(message))
         if handler is not None:
             handler(message)
@@ -71,11 +73,13 @@
 
 
 def entry_fleet(cfg: EntryCfg, fleet: FleetCfg, node: NodeCfg) -> Fleet:
-    """The entries that share quotas: those listed, by their addresses.
+    """The entries that share quotas: those listed in the settings, by address.
 
-    One that is not listed under its own address owns no counts.
+    An entry whose own address is not listed owns no quota counts.
     """
     listed = fleet.entries or (cfg.rpc,)
     own = cfg.rpc if cfg.rpc in listed else ""
-    others = tuple(GatewayPeer(one, one, "") for one in listed if one != own)
+    others = tuple(
+        GatewayPeer(address, address, "") for address in listed if address != own
+    )
     return Fleet(GatewayPeer(own or node.name, own, node.zone), others)
--- a/gooseberrydale/process/entry/responses.py
+++ b/gooseberrydale/process/entry/responses.py
@@ -1,4 +1,4 @@
-"""Turns refusals into the JSON answers that callers of the interface expect."""
+"""Builds the JSON error responses of the HTTP interface."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 
 def refusal(problem: Problem, request_id: str) -> Response:
-    """The final answer to a request that is refused."""
+    """The error response to a request that failed or was refused."""
     response = Response(
         msgspec.json.encode(error_object(problem, request_id)),
         status_code=problem.status,
         media_type=JSON_TYPE,
     )
-    # Client libraries send some statuses again by themselves unless told not to.
-    comes_back = problem.retry_after_s is not None
-    response.headers["x-should-retry"] = "true" if comes_back else "false"
+    # Client libraries retry some statuses on their own unless this header forbids it.
+    is_retryable = problem.retry_after_s is not None
+    response.headers["x-should-retry"] = "true" if is_retryable else "false"
     if problem.retry_after_s is not None:
         response.headers["retry-after"] = str(math.ceil(problem.retry_after_s))
         wait_ms = math.ceil(problem.retry_after_s * MS_PER_S)
--- a/gooseberrydale/process/sidecar/__init__.py
+++ b/gooseberrydale/process/sidecar/__init__.py
@@ -1,4 +1,4 @@
-"""The sidecar role: the process beside each upstream, and the gate before it."""
+"""The sidecar role: the process beside each upstream that admits its requests."""
 
 from gooseberrydale.process.sidecar.role import Sidecar
 
--- a/gooseberrydale/process/sidecar/attempt.py
+++ b/gooseberrydale/process/sidecar/attempt.py
@@ -1,9 +1,9 @@
-"""One attempt at the sidecar: its answer so far, and whoever reads it.
+"""One attempt at the sidecar: buffers its answer between the upstream and a reader.
 
-Lives from the dispatch until the answer is no longer kept.  The task that talks to
-the upstream writes; the handler of a dispatch or an attach reads.  There is one
-reader at a time, and a newer one takes over from an older one, whose connection
-may have gone silent.
+An attempt exists from its dispatch until its answer is no longer retained.  The task
+that calls the upstream writes; the handler of a dispatch or an attach reads.  There is
+one reader at a time.  A newer reader replaces an older one, since the connection of the
+older one may have gone silent.
 """
 
 from __future__ import annotations
@@ -31,7 +31,11 @@
 
 
 class Attempt:
-    """The answer of one attempt, from the writer's and from the reader's side."""
+    """The answer of one attempt.
+
+    ``on_head`` is called with the status and headers of the answer, ``on_first_part``
+    when the first part of its body arrives.
+    """
 
     def __init__(
         self,
@@ -56,78 +60,83 @@
         self._log = ReplayLog(req.first_offset, replay_bytes)
         self._load = load
         self._revision = revision
-        self._turn = 0
-        self._news = asyncio.Event()
-        self._room = asyncio.Event()
+        self._reader_id = 0
+        self._changed = asyncio.Event()
+        self._has_capacity = asyncio.Event()
 
-    # The writer's side.
+    # Used by the writer.
 
     @property
-    def broke(self) -> bool:
-        """Whether it has ended without its whole answer, and may have run."""
+    def is_broken(self) -> bool:
+        """Whether the attempt ended with an incomplete answer and may have run."""
         return self._problem is not None and self._problem.not_run is not True
 
     @property
-    def answered(self) -> bool:
-        """True once the head of the answer is known."""
+    def has_head(self) -> bool:
+        """Whether status and headers of the answer have arrived."""
         return self._status is not None
 
-    def head(self, status: int, headers: Headers) -> None:
-        """Set status and headers of the answer."""
+    def set_head(self, status: int, headers: Headers) -> None:
+        """Set status and headers of the answer and notify the reader."""
         self._status = status
         self._headers = headers
         if self.on_head is not None:
             self.on_head(status, headers)
-        self._news.set()
+        self._changed.set()
 
     async def write(self, events: Sequence[bytes]) -> None:
-        """Append events; wait while the reader is too far behind."""
+        """Append events; wait while the replay buffer is full of unread events."""
         if self.on_first_part is not None:
             self.on_first_part()
             self.on_first_part = None
         for event in events:
             self._log.append(event)
-        self._news.set()
+        self._changed.set()
         while self._log.full:
-            self._room.clear()
-            await self._room.wait()
+            self._has_capacity.clear()
+            await self._has_capacity.wait()
 
     def end(self, problem: Problem | None = None) -> None:
-        """End the answer: whole, or for the reason of ``problem``."""
+        """End the answer; ``problem`` is None if it is complete."""
         if self.ended:
             raise InvariantError(f"attempt {self.key} ended twice")
         if problem is None and self._status is None:
-            raise InvariantError(f"attempt {self.key} ended whole before its head")
+            raise InvariantError(
+                f"attempt {self.key} ended as complete before its head arrived"
+            )
         self.ended = True
         self._problem = problem
         self.idle_since = asyncio.get_running_loop().time()
-        self._news.set()
+        self._changed.set()
 
-    # The reader's side.
+    # Used by readers.
 
     def holds(self, offset: int) -> bool:
-        """True if a reader may go on at ``offset``."""
+        """Whether the events from ``offset`` on can still be read."""
         return self._log.holds(offset)
 
     async def frames(self, offset: int) -> AsyncGenerator[Frame, None]:
-        """Yield the answer from ``offset`` on, with heartbeats in between."""
-        self._turn += 1
-        turn = self._turn
+        """Yield the answer from ``offset`` on, with heartbeats while nothing arrives.
+
+        A later call ends this one.
+        """
+        self._reader_id += 1
+        reader_id = self._reader_id
         self._log.rewind(offset)
-        self._news.set()
+        self._changed.set()
         self.readers += 1
         try:
-            async with aclosing(self._read(turn, offset)) as frames:
+            async with aclosing(self._read(reader_id, offset)) as frames:
                 async for frame in frames:
                     yield frame
         finally:
             self.readers -= 1
             self.idle_since = asyncio.get_running_loop().time()
 
-    async def _read(self, turn: int, offset: int) -> AsyncGenerator[Frame, None]:
+    async def _read(self, reader_id: int, offset: int) -> AsyncGenerator[Frame, None]:
         head_sent = False
-        while turn == self._turn:
-            self._news.clear()
+        while reader_id == self._reader_id:
+            self._changed.clear()
             if self._status is not None and not head_sent:
                 head_sent = True
                 yield self._accepted(offset, self._status)
@@ -136,33 +145,33 @@
             if chunk is not None:
                 yield chunk
             elif self.ended:
-                yield self._last_frame()
+                yield self._final_frame()
                 return
-            elif not await self._wait_news():
+            elif not await self._wait_for_change():
                 yield Heartbeat(self.req.request_id, self._load())
 
     def _next_chunk(self) -> Chunk | None:
         offset, events = self._log.take()
         if not self._log.full:
-            self._room.set()
+            self._has_capacity.set()
         if not events:
             return None
-        return Chunk(*self._triple(), offset, events)
+        return Chunk(*self._attempt_ids(), offset, events)
 
-    async def _wait_news(self) -> bool:
+    async def _wait_for_change(self) -> bool:
         try:
             async with asyncio.timeout(HEARTBEAT_S):
-                await self._news.wait()
+                await self._changed.wait()
         except TimeoutError:
             return False
         return True
 
-    def _triple(self) -> tuple[str, int, str]:
+    def _attempt_ids(self) -> tuple[str, int, str]:
         return self.req.request_id, self.req.attempt, self.req.incarnation
 
     def _accepted(self, offset: int, status: int) -> Accepted:
         return Accepted(
-            *self._triple(),
+            *self._attempt_ids(),
             offset=offset,
             status=status,
             headers=self._headers,
@@ -171,11 +180,11 @@
             cached_tokens=self.cached_tokens,
         )
 
-    def _last_frame(self) -> Frame:
+    def _final_frame(self) -> Frame:
         if self._problem is None:
-            return End(*self._triple(), self._log.end, self._load())
+            return End(*self._attempt_ids(), self._log.end, self._load())
         if self._status is None:
             return Refused(
-                *self._triple(), self._problem, self._load(), self._revision()
+                *self._attempt_ids(), self._problem, self._load(), self._revision()
             )
-        return Failed(*self._triple(), self._log.end, self._problem, self._load())
+        return Failed(*self._attempt_ids(), self._log.end, self._problem, self._load())
--- a/gooseberrydale/process/sidecar/cache_follow.py
+++ b/gooseberrydale/process/sidecar/cache_follow.py
@@ -1,8 +1,8 @@
-"""Keeps the view of the upstream's cache up to date.
+"""Keeps the sidecar's view of the upstream's cache up to date.
 
-Lives as long as the sidecar.  One task owns the stream of events, another reads a
-snapshot whenever the view is incomplete and, more rarely, to find changes whose
-events were lost without a trace, or a stream that went silent.
+One task reads the upstream's stream of cache events.  Another loads a snapshot whenever
+the view is incomplete, and also at longer intervals, to find changes whose events were
+lost unnoticed and to detect a stream that has gone silent.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 from gooseberrydale.connection.upstream_reply import UpstreamError
 from gooseberrydale.version.cache_view import CacheView
 
-RECONNECT_S = 0.5
-CHECK_S = 0.2
-RESYNC_S = 0.5
-REFRESH_S = 10.0
+RECONNECT_DELAY_S = 0.5
+CHECK_INTERVAL_S = 0.2
+RESYNC_DELAY_S = 0.5
+REFRESH_INTERVAL_S = 10.0
 OK = 200
 
 
 class CacheFollower:
-    """Feeds ``view`` from the upstream at ``base_url``."""
+    """Updates ``view`` from the upstream at ``base_url``."""
 
     def __init__(self, base_url: str, view: CacheView) -> None:
         self._base_url = base_url
@@ -56,10 +56,10 @@
             try:
                 await self._read_stream()
             except (UpstreamError, SseError, msgspec.MsgspecError) as exc:
-                logger.debug("the stream of cache events broke: {}", exc)
+                logger.debug("cache event stream failed, connecting again: {}", exc)
             self._subscribed = False
             self._view.interrupt()
-            await asyncio.sleep(RECONNECT_S)
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _read_stream(self) -> None:
         stream = self._stream = UpstreamCall(self._base_url)
@@ -79,18 +79,18 @@
 
     async def _resync(self) -> None:
         loop = asyncio.get_running_loop()
-        refreshed = loop.time()
+        refreshed_at = loop.time()
         while True:
-            await asyncio.sleep(CHECK_S)
-            due = loop.time() - refreshed > REFRESH_S
-            if not self._subscribed or (self._view.complete and not due):
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            is_refresh_due = loop.time() - refreshed_at > REFRESH_INTERVAL_S
+            if not self._subscribed or (self._view.complete and not is_refresh_due):
                 continue
-            refreshed = loop.time()
+            refreshed_at = loop.time()
             try:
                 await self._load_snapshot()
             except UpstreamError as exc:
-                logger.debug("no snapshot of the cache: {}", exc)
-            await asyncio.sleep(RESYNC_S)
+                logger.debug("loading the cache snapshot failed, trying again: {}", exc)
+            await asyncio.sleep(RESYNC_DELAY_S)
 
     async def _load_snapshot(self) -> None:
         events, seq = self._events, self._view.seq
@@ -98,8 +98,8 @@
         if reply.status != OK:
             raise UpstreamError(f"status {reply.status}", sent=True)
         snapshot = reply.decode(CacheSnapshot)
-        lost = self._view.complete and snapshot.seq > seq >= 0
+        missed_events = self._view.complete and snapshot.seq > seq >= 0
         self._view.load(snapshot)
-        if lost and events == self._events and self._stream is not None:
-            logger.info("the stream of cache events is silent; it is opened again")
+        if missed_events and events == self._events and self._stream is not None:
+            logger.info("cache events were missed; opening the event stream again")
             self._stream.abort()
--- a/gooseberrydale/process/sidecar/calls.py
+++ b/gooseberrydale/process/sidecar/calls.py
@@ -1,6 +1,6 @@
-"""Turns a dispatch into the call to the upstream.
+"""Builds the call to the upstream for a dispatched attempt.
 
-Lives as long as the sidecar.  Pure but for the view of the upstream that it reads.
+It does no I/O; of the upstream it only reads the state that was observed last.
 """
 
 from __future__ import annotations
@@ -27,56 +27,56 @@
 from gooseberrydale.version.upstream_state import UpstreamState
 
 COMPLETION_PATHS = (CHAT_PATH, TEXT_PATH)
-# Callers' headers that a model engine has no use for, or that would change the form
+# Headers of callers that a model engine does not need, or that would change the format
 # of its answer.
-_NOT_FOR_ENGINES = frozenset(
+_ENGINE_DROPPED_HEADERS = frozenset(
     {"authorization", "accept-encoding", "content-type", "accept", "cookie"}
 )
-# Times of which a working engine stays below: factor on the expected prefill, seconds
-# a token, seconds of an answer without a limit.
+# Upper bounds on the times of a working engine: a factor on the expected prefill time,
+# the time per token, and the time of an answer without a limit on its tokens.
 PREFILL_SLACK = 3.0
-SLOW_TOKEN_S = 0.2
+MAX_TOKEN_S = 0.2
 UNLIMITED_ANSWER_S = 300.0
 
 
-class Watch(Protocol):
-    """What is known of the upstream, and the questions that it can be asked."""
+class UpstreamStatus(Protocol):
+    """The observed state of the upstream, and checks that query it."""
 
     @property
     def state(self) -> UpstreamState:
-        """The last answer of its health call."""
+        """The state that its last health check returned."""
 
     @property
     def tells_requests(self) -> bool:
-        """Whether it tells which requests it has not ended."""
+        """Whether the load report lists the requests that have not ended."""
 
     async def alive(self) -> bool:
-        """Whether it answers on a new connection."""
+        """Whether the upstream answers on a new connection."""
 
     async def lost(self, request_id: str, attempt: int) -> bool:
-        """Whether a request without an answer so far will bring none."""
+        """Whether a request without an answer so far will never be answered."""
 
 
 class CallBuilder:
-    """Builds calls for the upstream as it is now."""
+    """Builds calls to the upstream for its current model and weights."""
 
     def __init__(
         self,
         cfg: SidecarCfg,
         store: ConfigStore,
-        watch: Watch,
+        status: UpstreamStatus,
     ) -> None:
         self._cfg = cfg
         self._store = store
-        self._watch = watch
+        self._status = status
 
     def piece_keys(self, req: DispatchReq) -> list[tuple[bytes, int]]:
-        """Full cache keys of the prompt's pieces, with their tokens."""
+        """The full cache key of each piece of the prompt, with its number of tokens."""
         root = self.root(req)
         return [(piece_key(root, p.chain), p.tokens) for p in req.pieces]
 
     def build(self, req: DispatchReq, prefill_s: float) -> Result[Call, Problem]:
-        """Return the call; ``prefill_s`` is the expected time to its first token."""
+        """Build the call; ``prefill_s`` is the expected time to its first token."""
         body = self._body(req)
         if isinstance(body, Err):
             return body
@@ -88,8 +88,8 @@
                 body=body.ok_value.data,
                 head_silence_s=self._head_silence_s(req, body.ok_value, prefill_s),
                 silence_s=self._cfg.upstream_silence_s,
-                lost=partial(self._watch.lost, req.request_id, req.attempt),
-                alive=self._watch.alive,
+                lost=partial(self._status.lost, req.request_id, req.attempt),
+                alive=self._status.alive,
             )
         )
 
@@ -115,40 +115,41 @@
             ("x-request-id", req.request_id),
             ("x-attempt", str(req.attempt)),
         )
-        replaced = {name for name, _ in own}
+        dropped = {name for name, _ in own}
         if self._is_completion(req):
-            replaced |= _NOT_FOR_ENGINES
+            dropped |= _ENGINE_DROPPED_HEADERS
             own += (("content-type", "application/json"), ("accept", "*/*"))
-        kept = (h for h in req.headers if h[0].lower() not in replaced)
-        return (*kept, *own)
+        forwarded = (h for h in req.headers if h[0].lower() not in dropped)
+        return (*forwarded, *own)
 
     def _head_silence_s(
         self, req: DispatchReq, body: CompletionBody, prefill_s: float
     ) -> float:
-        """How long the first byte may take.
+        """How long the first byte of the answer may take.
 
-        An answer in one piece comes after its last token, so it is silent for as long
-        as its tokens may take, unless the engine can be asked about the request.
+        An answer that is not streamed is sent after its last token, so its connection
+        is silent for as long as all of its tokens take.  If the engine lists its open
+        requests, it can be asked about this one, so the short bound is enough.
         """
         silence_s = self._cfg.upstream_silence_s + PREFILL_SLACK * prefill_s
         if req.stream:
             return silence_s
-        if self._is_completion(req) and self._watch.tells_requests:
+        if self._is_completion(req) and self._status.tells_requests:
             return self._cfg.upstream_silence_s
         if not self._is_completion(req):
             return max(silence_s, req.deadline_s)
         if body.max_tokens is None:
             return silence_s + req.deadline_s + UNLIMITED_ANSWER_S
-        return silence_s + body.max_tokens * SLOW_TOKEN_S
+        return silence_s + body.max_tokens * MAX_TOKEN_S
 
     def root(self, req: DispatchReq) -> bytes:
-        """Root of the cache keys under the weights that the upstream has now."""
+        """The root of the cache keys for the weights that the upstream has loaded."""
         return cache_root(
-            req.workspace, self._model(req), self._watch.state.weights_version
+            req.workspace, self._model(req), self._status.state.weights_version
         )
 
     def _model(self, req: DispatchReq) -> str:
         profile = self._store.config.profiles.get(req.profile)
         if profile is not None and profile.model:
             return profile.model
-        return self._watch.state.model or self._cfg.model
+        return self._status.state.model or self._cfg.model
--- a/gooseberrydale/process/sidecar/dispatcher.py
+++ b/gooseberrydale/process/sidecar/dispatcher.py
@@ -1,7 +1,7 @@
-"""Takes attempts in, runs them one call each, and forgets them in time.
+"""Accepts attempts, runs one upstream call for each, and drops answers after a while.
 
-Lives as long as the sidecar.  It joins the two pure parts of the gate: whether an
-attempt may start at all, and when its turn comes.
+The dispatcher combines two components that do no I/O: the gate decides whether an
+attempt may run at all, the admission when it starts.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
 from gooseberrydale.request.gate import Gate, Phase, Verdict
 from gooseberrydale.version.config_store import ConfigStore
 
-SWEEP_S = 0.5
-POLL_S = 0.05
+SWEEP_INTERVAL_S = 0.5
+POLL_INTERVAL_S = 0.05
 DEFAULT_SHARE = 1.0
 
 Runner = Callable[[Attempt], Awaitable[None]]
@@ -50,9 +50,10 @@
 
 
 class Dispatcher:
-    """The attempts of one sidecar.  ``runner`` carries one to the upstream.
+    """The attempts of one sidecar.
 
-    ``uncached_tokens`` estimates how much of a prompt must be computed.
+    ``runner`` makes the upstream call of an attempt; ``uncached_tokens`` estimates how
+    many tokens of its prompt must be computed.
     """
 
     def __init__(
@@ -80,11 +81,15 @@
         self._sweeper: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start forgetting answers that nobody asks for any more."""
+        """Start the task that drops answers without a reader."""
         self._sweeper = asyncio.create_task(self._sweep())
 
     async def close(self) -> None:
-        """Stop at once; what still runs ends with a statement of its outcome."""
+        """Stop immediately.
+
+        Each running attempt ends with a problem that states what is known of its
+        outcome.
+        """
         if self._timer is not None:
             self._timer.cancel()
         if self._sweeper is not None:
@@ -93,10 +98,10 @@
         if tasks:
             await asyncio.wait(tasks)
 
-    # What entries ask for.
+    # Requests of entries.
 
     def dispatch(self, req: DispatchReq) -> Attempt | Refused:
-        """Take an attempt in, or refuse it at once."""
+        """Accept an attempt, which starts now or is queued, or refuse it."""
         leaving = self._name in self._store.config.leaving
         decision = self.gate.offer(req, _now(), leaving=leaving)
         if isinstance(decision, Err):
@@ -107,12 +112,12 @@
         refusal = self._admit(attempt)
         self._arm_timer()
         if refusal is not None:
-            self._forget(attempt)
+            self._drop(attempt)
             return self._refused(req, refusal)
         return attempt
 
     def attach(self, req: AttachReq) -> Result[Attempt, Problem]:
-        """Find the answer that a reader wants again; it must hold the offset."""
+        """Find the attempt whose answer can be read from the requested offset."""
         if req.incarnation != self._incarnation:
             return Err(
                 problem(
@@ -122,16 +127,16 @@
                     wanted=req.incarnation,
                 )
             )
-        found = self._find(req)
-        # A stranger learns nothing, not even that the stream exists.
-        if found is None or found.req.workspace != req.workspace:
+        attempt = self._find(req)
+        # Other workspaces must not learn that the stream exists.
+        if attempt is None or attempt.req.workspace != req.workspace:
             return Err(_unknown_stream(req))
-        if not found.holds(req.offset):
+        if not attempt.holds(req.offset):
             return Err(_unknown_stream(req))
-        return Ok(found)
+        return Ok(attempt)
 
     def cancel(self, req: CancelReq) -> CancelReply:
-        """Give an attempt up, whether it came yet or not."""
+        """Cancel an attempt; one that arrives later will be refused."""
         verdict = self.gate.cancel(req, _now())
         attempt = self._attempts.get(work_id((req.request_id, req.attempt)))
         if verdict is Verdict.TAKEN_FROM_QUEUE and attempt is not None:
@@ -141,34 +146,40 @@
         return CancelReply(verdict.not_run, self._cancel_problem(req, verdict))
 
     def load(self) -> Load:
-        """The load right now."""
+        """The current load."""
         return replace(self.admission.load(_now()), cached_blocks=self._cached_blocks())
 
     @property
     def busy(self) -> bool:
-        """True while work waits, runs or is read."""
+        """Whether any attempt is queued, running or being read."""
         return self.gate.unfinished > 0 or any(
             attempt.readers for attempt in self._attempts.values()
         )
 
-    # What the sidecar itself orders.
+    # Called by the sidecar itself.
 
-    def note_backpressure(self, asked: Backpressure) -> None:
-        """An answer of the upstream tells what it takes."""
-        self.admission.limit(asked.limit_per_s, _now())
-        if asked.retry_after_s is not None:
-            self.admission.back_off(asked.retry_after_s, _now())
+    def apply_backpressure(self, backpressure: Backpressure) -> None:
+        """Apply the rate limit and the backoff that the upstream asked for."""
+        self.admission.limit(backpressure.limit_per_s, _now())
+        if backpressure.retry_after_s is not None:
+            self.admission.back_off(backpressure.retry_after_s, _now())
         self._arm_timer()
 
-    async def drain(self, bound_s: float) -> None:
-        """Refuse new work, let the rest finish; what outlasts the bound is ended."""
+    async def drain(self, limit_s: float) -> None:
+        """Refuse new work and wait until the rest is done, at most ``limit_s``.
+
+        ``close`` then stops what still runs.
+        """
         self.gate.shut()
-        end = _now() + bound_s
-        while self.busy and _now() < end:
-            await asyncio.sleep(POLL_S)
+        deadline = _now() + limit_s
+        while self.busy and _now() < deadline:
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     def refuse_queued(self) -> None:
-        """Refuse all that waits, since the upstream is leaving; the rest goes on."""
+        """Refuse all queued attempts, since the upstream is leaving.
+
+        Running attempts continue.
+        """
         for attempt in list(self._attempts.values()):
             if self.gate.phase(attempt.key) is Phase.WAITING:
                 waiting_id = work_id(attempt.key)
@@ -178,17 +189,20 @@
         self._arm_timer()
 
     def stop_running(
-        self, concerned: Callable[[Attempt], bool]
+        self, matches: Callable[[Attempt], bool]
     ) -> list[asyncio.Task[None]]:
-        """End running attempts; each says what is known of its outcome."""
+        """Stop the running attempts for which ``matches`` is true; return their tasks.
+
+        Each ends with a problem that states what is known of its outcome.
+        """
         tasks = []
         for attempt in list(self._attempts.values()):
-            if attempt.task is not None and not attempt.ended and concerned(attempt):
+            if attempt.task is not None and not attempt.ended and matches(attempt):
                 tasks.append(attempt.task)
                 self._stop(attempt)
         return tasks
 
-    # Inside.
+    # Internals.
 
     def _admit(self, attempt: Attempt) -> Problem | None:
         outcome = self.admission.offer(self._work(attempt), _now())
@@ -198,8 +212,8 @@
         if isinstance(outcome, Admitted):
             self._start(attempt)
         if isinstance(outcome, Queued):
-            for other, refusal in outcome.displaced:
-                self._refuse_waiting(other, refusal)
+            for waiting_id, refusal in outcome.displaced:
+                self._refuse_waiting(waiting_id, refusal)
         return None
 
     def _work(self, attempt: Attempt) -> Work:
@@ -217,8 +231,8 @@
         )
 
     def _start_all(self, ids: list[str]) -> None:
-        for one in ids:
-            self._start(self._attempts[one])
+        for attempt_id in ids:
+            self._start(self._attempts[attempt_id])
 
     def _start(self, attempt: Attempt) -> None:
         self.gate.start(attempt.key)
@@ -234,11 +248,11 @@
             self._end_unfinished(attempt)
             raise
         except Exception:
-            logger.exception("attempt {} failed inside the sidecar", attempt.key)
+            logger.exception("attempt {} failed with an unexpected error", attempt.key)
             if not attempt.ended:
                 attempt.end(problem(INTERNAL, not_run=None))
         finally:
-            self._finished(attempt)
+            self._on_finished(attempt)
 
     def _end_unfinished(self, attempt: Attempt) -> None:
         if attempt.ended:
@@ -248,9 +262,11 @@
         else:
             attempt.end(problem(OUTCOME_UNKNOWN, not_run=None))
 
-    def _finished(self, attempt: Attempt) -> None:
+    def _on_finished(self, attempt: Attempt) -> None:
         if not attempt.ended:
-            raise InvariantError(f"attempt {attempt.key} stopped without an end")
+            raise InvariantError(
+                f"the runner of attempt {attempt.key} returned without ending it"
+            )
         self.gate.finish(attempt.key, _now())
         self._start_all(self.admission.finish(work_id(attempt.key), _now()))
         self._arm_timer()
@@ -276,38 +292,43 @@
         expiry = self.admission.next_expiry()
         start = self.admission.next_start(_now())
         times = [start] if start is not None else []
-        times += [expiry + POLL_S] if expiry is not None else []
+        times += [expiry + POLL_INTERVAL_S] if expiry is not None else []
         if times:
             loop = asyncio.get_running_loop()
-            self._timer = loop.call_at(min(times), self._look)
+            self._timer = loop.call_at(min(times), self._on_timer)
 
-    def _look(self) -> None:
-        for late, refusal in self.admission.expire(_now()):
-            self._refuse_waiting(late, refusal)
+    def _on_timer(self) -> None:
+        for waiting_id, refusal in self.admission.expire(_now()):
+            self._refuse_waiting(waiting_id, refusal)
         self._start_all(self.admission.start_due(_now()))
         self._arm_timer()
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_S)
+            await asyncio.sleep(SWEEP_INTERVAL_S)
             self.gate.expire(_now())
             for attempt in list(self._attempts.values()):
                 if _now() - attempt.idle_since > self._cfg.replay_s:
                     self._sweep_idle(attempt)
 
     def _sweep_idle(self, attempt: Attempt) -> None:
-        """Nobody came for ``replay_s``: an ended answer goes, a running one stops."""
+        """Handle an attempt that had no reader for ``replay_s``.
+
+        An ended one is dropped.  One that has not ended is stopped if it is repeatable
+        or its answer has begun.  Of the others, queued ones are removed from the queue
+        and running ones continue.
+        """
         if attempt.readers:
             return
         if attempt.ended:
-            self._forget(attempt)
-        elif attempt.req.repeatable or attempt.answered:
+            self._drop(attempt)
+        elif attempt.req.repeatable or attempt.has_head:
             self._stop(attempt)
         elif self.gate.phase(attempt.key) is Phase.WAITING:
             self.gate.withdraw(attempt.key, _now())
             self._take_from_queue(attempt)
 
-    def _forget(self, attempt: Attempt) -> None:
+    def _drop(self, attempt: Attempt) -> None:
         del self._attempts[work_id(attempt.key)]
         if self._latest.get(attempt.req.request_id) is attempt:
             del self._latest[attempt.req.request_id]
@@ -348,7 +369,7 @@
 
 
 def work_id(key: tuple[str, int]) -> str:
-    """Name an attempt in one text."""
+    """The id of an attempt in the queue of the admission."""
     return f"{key[0]}/{key[1]}"
 
 
--- a/gooseberrydale/process/sidecar/kv_transfer.py
+++ b/gooseberrydale/process/sidecar/kv_transfer.py
@@ -1,8 +1,8 @@
-"""Orders the upstream to move pieces of KV cache to and from the store.
+"""Makes the upstream move pieces of its KV cache to and from the KV store.
 
-Lives as long as the sidecar.  An import is awaited before its request starts and is
-bounded in time; a failed one costs nothing but that time, since the upstream then
-computes the pieces.  Exports run one at a time behind the requests.
+A request waits for the import of its pieces, for a limited time.  A failed import costs
+only that time, since the upstream then computes the pieces.  Exports run in the
+background, one at a time.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 LOOKUP_TIMEOUT_S = 0.25
 EXPORT_TIMEOUT_S = 30.0
-# An import that takes this many times what was expected is given up.
+# An import is abandoned after this multiple of its expected time.
 IMPORT_SLACK = 4.0
 MIN_IMPORT_S = 0.5
 MAX_WAITING_EXPORTS = 64
@@ -27,7 +27,7 @@
 
 
 class KvTransfer:
-    """Imports and exports of one upstream; without a store it does nothing."""
+    """Imports and exports of one upstream; does nothing if ``store`` is empty."""
 
     def __init__(
         self, upstream: str, store: str, prefill_tps: Callable[[], float]
@@ -40,22 +40,25 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Start exporting."""
+        """Start the task that exports."""
         if self._store:
             self._task = asyncio.create_task(self._export_all())
 
     async def close(self) -> None:
-        """Stop exporting."""
+        """Stop the task that exports."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.wait([self._task])
 
-    def begin(self) -> None:
-        """The upstream has another incarnation or other weights."""
+    def reset(self) -> None:
+        """Discard the recorded use, since the incarnation or the weights changed."""
         self._use = KvUse()
 
-    def used(self, pieces: Sequence[KvPiece]) -> None:
-        """Note that a prompt with these pieces was computed or found cached."""
+    def record_use(self, pieces: Sequence[KvPiece]) -> None:
+        """Record that a prompt with these pieces was computed or found cached.
+
+        Pieces that are worth it are queued for export.
+        """
         if not self._store:
             return
         for piece in self._use.used(pieces):
@@ -65,37 +68,37 @@
                 self._exports.put_nowait(piece)
 
     async def import_missing(self, missing: Sequence[KvPiece]) -> int:
-        """Import what comes first of ``missing``; return the tokens imported."""
+        """Import pieces from the start of ``missing``; return the imported tokens."""
         if not self._store or not missing:
             return 0
         now = asyncio.get_running_loop().time()
-        wanted = self._use.worth_asking(missing, self._prefill_tps(), now)
-        if not wanted:
+        requested = self._use.worth_asking(missing, self._prefill_tps(), now)
+        if not requested:
             return 0
-        held = await self._held(wanted)
-        if not self._use.is_cheaper(held, self._prefill_tps()):
+        stored = await self._find_stored(requested)
+        if not self._use.is_cheaper(stored, self._prefill_tps()):
             return 0
-        return await self._import(held)
+        return await self._import(stored)
 
-    async def _held(self, wanted: Sequence[KvPiece]) -> list[KvPiece]:
+    async def _find_stored(self, requested: Sequence[KvPiece]) -> list[KvPiece]:
         """The pieces that the store holds, up to the first one that it lacks."""
-        answers = await asyncio.gather(*(self._is_held(piece) for piece in wanted))
-        held = []
-        for piece, is_held in zip(wanted, answers, strict=True):
-            if not is_held:
+        results = await asyncio.gather(*(self._is_stored(piece) for piece in requested))
+        stored = []
+        for piece, is_stored in zip(requested, results, strict=True):
+            if not is_stored:
                 self._use.absent(piece, asyncio.get_running_loop().time())
                 break
-            held.append(piece)
-        return held
+            stored.append(piece)
+        return stored
 
-    async def _is_held(self, piece: KvPiece) -> bool:
+    async def _is_stored(self, piece: KvPiece) -> bool:
         target = f"/kv/{piece.root}/{piece.key}"
         try:
             reply = await upstream_api.call(
                 self._store, "HEAD", target, timeout_s=LOOKUP_TIMEOUT_S
             )
         except UpstreamError as exc:
-            logger.debug("the KV store does not answer: {}", exc)
+            logger.debug("the KV store did not answer: {}", exc)
             return False
         return reply.status == OK
 
@@ -107,11 +110,11 @@
         try:
             async with asyncio.timeout(limit_s):
                 for piece in pieces:
-                    began = loop.time()
-                    if not await self._order("/kv/import", piece, limit_s):
+                    started_at = loop.time()
+                    if not await self._send_order("/kv/import", piece, limit_s):
                         self._use.absent(piece, loop.time())
                         break
-                    self._use.moved(piece.tokens, loop.time() - began)
+                    self._use.moved(piece.tokens, loop.time() - started_at)
                     imported += piece.tokens
         except TimeoutError:
             self._use.moved(tokens - imported, limit_s)
@@ -120,17 +123,17 @@
     async def _export_all(self) -> None:
         while True:
             piece = await self._exports.get()
-            if not await self._order("/kv/export", piece, EXPORT_TIMEOUT_S):
+            if not await self._send_order("/kv/export", piece, EXPORT_TIMEOUT_S):
                 self._use.not_exported(piece)
 
-    async def _order(self, path: str, piece: KvPiece, timeout_s: float) -> bool:
+    async def _send_order(self, path: str, piece: KvPiece, timeout_s: float) -> bool:
         try:
             reply = await upstream_api.call(
                 self._upstream, "POST", path, piece, timeout_s=timeout_s
             )
         except UpstreamError as exc:
-            logger.debug("{} of {} failed: {}", path, piece.key, exc)
+            logger.debug("{} of piece {} failed: {}", path, piece.key, exc)
             return False
         if reply.status == CONFLICT:
-            logger.error("{} refused: {} has another root", path, piece.key)
+            logger.error("{} refused: piece {} has another root", path, piece.key)
         return reply.status == OK
--- a/gooseberrydale/process/sidecar/role.py
+++ b/gooseberrydale/process/sidecar/role.py
@@ -1,6 +1,7 @@
-"""Wires the sidecar: its listener, its gate, its view of the upstream, the mesh.
+"""Builds a sidecar process from its components and connects them.
 
-Lives as long as the process.
+The components are the listener, the dispatcher, the watch on the upstream and its
+cache, the executor of orders, and the mesh.
 """
 
 from __future__ import annotations
@@ -30,7 +31,7 @@
 from gooseberrydale.process.sidecar.kv_transfer import KvTransfer
 from gooseberrydale.process.sidecar.orders import OrderKeeper
 from gooseberrydale.process.sidecar.service import SidecarService
-from gooseberrydale.process.sidecar.upstream_runs import Running, UpstreamRuns
+from gooseberrydale.process.sidecar.upstream_runs import RunningAttempt, UpstreamRuns
 from gooseberrydale.process.sidecar.upstream_watch import UpstreamWatch
 from gooseberrydale.process.sidecar.worker import Worker
 from gooseberrydale.process.tls import tls_files
@@ -46,7 +47,7 @@
 
 
 class Sidecar:
-    """One sidecar process.  ``start`` serves, ``close`` drains and stops."""
+    """One sidecar process; ``start`` once, and ``close`` to drain and stop."""
 
     def __init__(self, cfg: Cfg, rng: random.Random | None = None) -> None:
         if cfg.sidecar is None:
@@ -63,7 +64,7 @@
             cfg.node.name, self.incarnation, self._ended_incarnations, self._is_leaving
         )
         self._watch = UpstreamWatch(
-            self._sidecar, self._state_changed, self._took_load, self._runs
+            self._sidecar, self._on_state_changed, self._on_load, self._runs
         )
         self._follower = CacheFollower(self._sidecar.upstream, self._view)
         self._kv = KvTransfer(
@@ -115,17 +116,17 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Addresses of the listeners, with their real ports."""
+        """The address of each listener, with its real port."""
         host = self._sidecar.rpc.rpartition(":")[0]
         return {"rpc": f"{host}:{self._rpc.port}"}
 
     @property
     def upstream_state(self) -> UpstreamState:
-        """The last that was heard of the upstream."""
+        """The state of the upstream at its last health check."""
         return self._watch.state
 
     def read_levels(self, level: Level) -> None:
-        """Write the current levels for a scrape of the metrics."""
+        """Write the current values of the gauges into ``level``."""
         load = self.dispatcher.load()
         level.running = load.running
         level.queued = load.queued
@@ -135,12 +136,12 @@
         level.cfg_revision = self.store.revision
 
     async def start(self) -> None:
-        """Serve; raises OSError if the listener can't be bound."""
+        """Start serving; raises OSError if the listener can't be bound."""
         SidecarService(self.dispatcher, self.store, self.incarnation).register(
             self._rpc
         )
         self._rpc.unary(ORDER, self._orders.handle)
-        self.directory.subscribe(self._announced)
+        self.directory.subscribe(self._on_announced)
         await self.dispatcher.start()
         await self._watch.start()
         if self._sidecar.kind == ProfileKind.COMPLETION:
@@ -152,7 +153,7 @@
         self._config_task = asyncio.create_task(self._follow_config())
 
     async def close(self) -> None:
-        """Refuse new work, finish what runs within the bound, then stop."""
+        """Refuse new work, let running work finish within the drain time, then stop."""
         if self._closing:
             return
         self._closing = True
@@ -172,7 +173,7 @@
         await self._follower.close()
         await self._watch.close()
 
-    # What the mesh and the watch tell.
+    # Callbacks of the mesh, the directory and the watch.
 
     def _own_record(self) -> UpstreamRecord | None:
         state = self._watch.state
@@ -195,11 +196,14 @@
         )
 
     def _is_leaving(self) -> bool:
-        """Whether the sidecar stops or operators take its upstream out of service."""
+        """Whether the sidecar is stopping or its upstream has been marked leaving."""
         return self._closing or self._cfg.node.name in self.store.config.leaving
 
-    def _announced(self, _changed: bool) -> None:
-        """Own announcements pass through the directory, with their number."""
+    def _on_announced(self, _changed: bool) -> None:
+        """Give the gate the number of this sidecar's own record.
+
+        The directory also receives the sidecar's own announcements.
+        """
         now = asyncio.get_running_loop().time()
         record = self.directory.get(self._cfg.node.name, now)
         if record is not None and record.incarnation == self.incarnation:
@@ -219,46 +223,50 @@
             if self._cfg.node.name in leaving:
                 self.dispatcher.refuse_queued()
 
-    def _state_changed(self, old: UpstreamState, new: UpstreamState) -> None:
+    def _on_state_changed(self, old: UpstreamState, new: UpstreamState) -> None:
         if self._view.begin(new.incarnation, new.weights_version):
-            self._kv.begin()
-            self.dispatcher.stop_running(self._is_of_old_incarnation(old, new))
+            self._kv.reset()
+            self.dispatcher.stop_running(self._ran_on_old_incarnation(old, new))
         self._mesh.announce()
 
-    def _is_of_old_incarnation(
+    def _ran_on_old_incarnation(
         self, old: UpstreamState, new: UpstreamState
     ) -> Callable[[Attempt], bool]:
-        """Attempts that began while the old incarnation was still seen; later ones may
-        be of the new incarnation, and if they are not, their connections break by
-        themselves.
+        """Return a predicate for attempts that were sent to the old incarnation.
+
+        It is true for attempts that started before the old incarnation last answered a
+        health check.  Later ones may have reached the new incarnation; if they did not,
+        their connections break on their own.
         """
         replaced = bool(old.incarnation) and old.incarnation != new.incarnation
-        return partial(_started_before, self._watch.seen_at if replaced else None)
+        return partial(
+            _started_before, self._watch.last_answer_at if replaced else None
+        )
 
-    def _took_load(self, load: LoadReply) -> None:
+    def _on_load(self, load: LoadReply) -> None:
         self.dispatcher.admission.observe_rate(load.prefill_tps)
 
-    # Work.
+    # Running attempts.
 
     async def _run_attempt(self, attempt: Attempt) -> None:
         await self._orders.idle()
-        running = self._runs.began(attempt.req)
-        attempt.on_head = self._heard
-        attempt.on_first_part = partial(self._first_part, attempt, running)
+        running = self._runs.record_start(attempt.req)
+        attempt.on_head = self._on_head
+        attempt.on_first_part = partial(self._on_first_part, attempt, running)
         end = RunEnd.LEFT
         try:
             await self._worker.run(attempt)
-            end = RunEnd.BROKE if attempt.broke else RunEnd.ANSWERED
+            end = RunEnd.BROKE if attempt.is_broken else RunEnd.ANSWERED
         finally:
-            self._runs.ended(running, end)
+            self._runs.record_end(running, end)
         if end is RunEnd.BROKE:
-            # An upstream that has ended may be back before the next look.
-            self._watch.look_now()
+            # An upstream that has ended may have restarted before the next poll.
+            self._watch.poll_soon()
 
-    def _heard(self, status: int, headers: Headers) -> None:
-        self.dispatcher.note_backpressure(backpressure_of(status, headers))
+    def _on_head(self, status: int, headers: Headers) -> None:
+        self.dispatcher.apply_backpressure(backpressure_of(status, headers))
 
-    def _first_part(self, attempt: Attempt, running: Running) -> None:
+    def _on_first_part(self, attempt: Attempt, running: RunningAttempt) -> None:
         running.run.answering = True
         now = asyncio.get_running_loop().time()
         self.dispatcher.admission.first_token(work_id(attempt.key), now)
--- a/gooseberrydale/process/sidecar/service.py
+++ b/gooseberrydale/process/sidecar/service.py
@@ -1,7 +1,4 @@
-"""The sidecar's gRPC methods: messages in, frames and replies out.
-
-Lives as long as the listener.
-"""
+"""The sidecar's gRPC methods for entries: dispatch, attach, cancel, configuration."""
 
 from __future__ import annotations
 
@@ -35,7 +32,7 @@
 
 
 class SidecarService:
-    """Handlers of one sidecar."""
+    """Handlers of the gRPC methods; they call the dispatcher and the config store."""
 
     def __init__(
         self, dispatcher: Dispatcher, store: ConfigStore, incarnation: str
@@ -45,7 +42,7 @@
         self._incarnation = incarnation
 
     def register(self, rpc: RpcServer) -> None:
-        """Serve the methods on ``rpc``; call before its ``start``."""
+        """Register the methods on ``rpc``; call before its ``start``."""
         rpc.streaming(DISPATCH, self._dispatch)
         rpc.streaming(ATTACH, self._attach)
         rpc.unary(CANCEL, self._cancel)
@@ -53,20 +50,20 @@
         rpc.unary(READ_CONFIG, self._read_config)
 
     async def _dispatch(self, req: DispatchReq) -> AsyncGenerator[Frame, None]:
-        taken = self._dispatcher.dispatch(req)
-        if isinstance(taken, Refused):
-            yield taken
+        attempt = self._dispatcher.dispatch(req)
+        if isinstance(attempt, Refused):
+            yield attempt
             return
-        async with aclosing(taken.frames(req.first_offset)) as frames:
+        async with aclosing(attempt.frames(req.first_offset)) as frames:
             async for frame in frames:
                 yield frame
 
     async def _attach(self, req: AttachReq) -> AsyncGenerator[Frame, None]:
-        found = self._dispatcher.attach(req)
-        if isinstance(found, Err):
-            yield self._attach_refused(req, found.err_value)
+        result = self._dispatcher.attach(req)
+        if isinstance(result, Err):
+            yield self._attach_refused(req, result.err_value)
             return
-        async with aclosing(found.ok_value.frames(req.offset)) as frames:
+        async with aclosing(result.ok_value.frames(req.offset)) as frames:
             async for frame in frames:
                 yield frame
 
--- a/gooseberrydale/process/sidecar/silence.py
+++ b/gooseberrydale/process/sidecar/silence.py
@@ -1,7 +1,8 @@
-"""Gives a connection up that went silent while its upstream answers on new ones.
+"""Aborts a connection that has gone silent while its upstream answers on new ones.
 
-Lives as long as one call to the upstream.  The reader of the connection says when
-it expects bytes; a task beside it checks how long none came.
+There is one :class:`SilenceWatch` per call to the upstream.  The reader of the
+connection calls ``expect`` when it starts to wait for bytes, and ``pause`` when it
+stops.  A separate task checks for how long none arrived.
 """
 
 from __future__ import annotations
@@ -11,19 +12,19 @@
 
 Probe = Callable[[], Awaitable[bool]]
 
-CHECK_S = 0.5
-MIN_NAP_S = 0.05
+CHECK_INTERVAL_S = 0.5
+MIN_CHECK_DELAY_S = 0.05
 
 
 class SilenceWatch:
-    """Watches one connection; ``abort`` breaks it."""
+    """Watches one connection; ``abort`` closes it."""
 
     def __init__(self, abort: Callable[[], None]) -> None:
-        self.gave_up = False
+        self.aborted = False
         self._abort = abort
         self._alive: Probe | None = None
-        self._due: float | None = None
-        self._waits = 0
+        self._deadline: float | None = None
+        self._expect_count = 0
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
@@ -37,39 +38,43 @@
             await asyncio.wait([self._task])
 
     def expect(self, limit_s: float, alive: Probe) -> None:
-        """Bytes are awaited from now on; ``limit_s`` is the longest silence.
+        """Start waiting for bytes; after ``limit_s`` without any, call ``alive``.
 
-        ``alive`` asks whether the upstream works and the connection is to blame.
+        The connection is aborted if ``alive`` returns true: the upstream works, so the
+        fault is in the connection.
         """
         self._alive = alive
-        self._waits += 1
-        self._due = asyncio.get_running_loop().time() + limit_s
+        self._expect_count += 1
+        self._deadline = asyncio.get_running_loop().time() + limit_s
 
     def pause(self) -> None:
-        """Bytes came, or none are awaited for now."""
-        self._due = None
+        """Stop waiting: bytes arrived, or none are expected for now."""
+        self._deadline = None
 
     async def _run(self) -> None:
-        while not self.gave_up:
-            await asyncio.sleep(self._nap_s())
-            if self._overdue():
-                await self._judge()
-
-    def _nap_s(self) -> float:
-        if self._due is None:
-            return CHECK_S
-        left_s = self._due - asyncio.get_running_loop().time()
-        return min(max(left_s, MIN_NAP_S), CHECK_S)
-
-    def _overdue(self) -> bool:
-        if self._due is None:
+        while not self.aborted:
+            await asyncio.sleep(self._check_delay_s())
+            if self._is_overdue():
+                await self._probe()
+
+    def _check_delay_s(self) -> float:
+        if self._deadline is None:
+            return CHECK_INTERVAL_S
+        remaining_s = self._deadline - asyncio.get_running_loop().time()
+        return min(max(remaining_s, MIN_CHECK_DELAY_S), CHECK_INTERVAL_S)
+
+    def _is_overdue(self) -> bool:
+        if self._deadline is None:
             return False
-        return asyncio.get_running_loop().time() >= self._due
+        return asyncio.get_running_loop().time() >= self._deadline
 
-    async def _judge(self) -> None:
-        """The upstream may be busy as a whole; then the connection is not at fault."""
-        wait = self._waits
+    async def _probe(self) -> None:
+        """Abort the connection if the upstream answers and no bytes arrived meanwhile.
+
+        An upstream that doesn't answer may just be busy; the connection is then kept.
+        """
+        expect_count = self._expect_count
         alive = self._alive is not None and await self._alive()
-        if alive and wait == self._waits and self._overdue():
-            self.gave_up = True
+        if alive and expect_count == self._expect_count and self._is_overdue():
+            self.aborted = True
             self._abort()
--- a/gooseberrydale/process/sidecar/upstream_run.py
+++ b/gooseberrydale/process/sidecar/upstream_run.py
@@ -1,7 +1,7 @@
-"""Carries one attempt to the upstream and its answer back.
+"""Makes the upstream call of one attempt and writes the answer into the attempt.
 
-Lives as long as one call to the upstream.  The call is made once; whatever goes
-wrong ends the attempt with a statement about the outcome that is known to be true.
+The call is made once.  If it fails, the attempt ends with a problem that states whether
+the request has run, as far as that is known for certain.
 """
 
 from __future__ import annotations
@@ -31,12 +31,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """What to send, and how long the connection may stay silent, in seconds.
+    """A request to the upstream, and how long its connection may stay silent.
 
-    ``head_silence_s`` bounds the time to the first byte, ``silence_s`` the time
-    between two parts of the answer.  A silent connection is given up only if the
-    upstream answers on a new one: before the first part ``lost`` must say so, which
-    is False while the upstream may still work on the request, afterwards ``alive``.
+    ``head_silence_s`` limits the time to the first byte, ``silence_s`` the time between
+    two parts of the answer.  After that time a check on a new connection decides: the
+    silent one is aborted if the check returns true.  Before the first part of the body
+    the check is ``lost``, which is false while the upstream may still be working on the
+    request; afterwards it is ``alive``.
     """
 
     method: str
@@ -50,7 +51,7 @@
 
 
 async def run_upstream(attempt: Attempt, call: Call, base_url: str) -> None:
-    """Make the call and write its answer into ``attempt``, up to its end."""
+    """Make the call, write its answer into ``attempt``, and end the attempt."""
     http = UpstreamCall(base_url)
     watch = SilenceWatch(http.abort)
     try:
@@ -58,8 +59,8 @@
         await _exchange(attempt, call, http, watch)
         attempt.end()
     except (UpstreamError, SseError) as exc:
-        cause = "silent connection" if watch.gave_up else str(exc)
-        logger.warning("attempt {} failed at the upstream: {}", attempt.key, cause)
+        cause = "the connection was silent for too long" if watch.aborted else str(exc)
+        logger.warning("upstream call of attempt {} failed: {}", attempt.key, cause)
         attempt.end(failure(attempt, sent=http.sent))
     finally:
         await watch.close()
@@ -67,7 +68,10 @@
 
 
 def failure(attempt: Attempt, *, sent: bool) -> Problem:
-    """What is known of an attempt whose call failed."""
+    """The problem that states what is known of an attempt whose call failed.
+
+    ``sent`` is false if no part of the request was sent.
+    """
     if not sent:
         return problem(UPSTREAM_UNREACHABLE, not_run=True, retry_after_s=RETRY_AFTER_S)
     if attempt.req.repeatable:
@@ -81,26 +85,28 @@
     watch.expect(call.head_silence_s, call.lost)
     await http.open(call.method, call.target, call.headers, call.body)
     watch.pause()
-    attempt.head(http.status, http.headers)
+    attempt.set_head(http.status, http.headers)
     body = _body(call, http, watch)
     if _content_type(http.headers) == EVENT_STREAM:
-        await _pump_events(attempt, body)
+        await _write_events(attempt, body)
     else:
-        await _pump_parts(attempt, body)
+        await _write_parts(attempt, body)
 
 
 def _content_type(headers: Headers) -> str:
-    found = next((value for name, value in headers if name == "content-type"), "")
-    return found.partition(";")[0].strip().lower()
+    content_type = next(
+        (value for name, value in headers if name == "content-type"), ""
+    )
+    return content_type.partition(";")[0].strip().lower()
 
 
-async def _pump_parts(attempt: Attempt, body: AsyncGenerator[bytes, None]) -> None:
+async def _write_parts(attempt: Attempt, body: AsyncGenerator[bytes, None]) -> None:
     async for data in body:
         await attempt.write((data,))
 
 
-async def _pump_events(attempt: Attempt, body: AsyncGenerator[bytes, None]) -> None:
-    """A model's stream is whole only with its end marker, not when it merely stops."""
+async def _write_events(attempt: Attempt, body: AsyncGenerator[bytes, None]) -> None:
+    """Write the events of a stream, which is complete only with its end marker."""
     parser = SseParser()
     done = False
     async for data in body:
@@ -111,20 +117,20 @@
         if events:
             await attempt.write(events)
     if not done:
-        raise SseError("the stream stopped without its end marker")
+        raise SseError("the event stream ended without its end marker")
 
 
 async def _body(
     call: Call, http: UpstreamCall, watch: SilenceWatch
 ) -> AsyncGenerator[bytes, None]:
-    """Yield what arrives; the time that the consumer takes is not silence."""
-    silence_s, alive = call.head_silence_s, call.lost
+    """Yield the parts of the body; the time that the consumer takes is not silence."""
+    limit_s, probe = call.head_silence_s, call.lost
     async with aclosing(http.chunks()) as chunks:
         while True:
-            watch.expect(silence_s, alive)
+            watch.expect(limit_s, probe)
             data = await anext(chunks, None)
             watch.pause()
             if data is None:
                 return
             yield data
-            silence_s, alive = call.silence_s, call.alive
+            limit_s, probe = call.silence_s, call.alive
--- a/gooseberrydale/process/sidecar/upstream_runs.py
+++ b/gooseberrydale/process/sidecar/upstream_runs.py
@@ -1,8 +1,9 @@
-"""What runs at the upstream beside, told to all processes when its incarnation ends.
+"""Records which attempts run at the upstream, and reports them when it ends.
 
-Lives as long as the sidecar, over all incarnations of its upstream.  An upstream that
-ends breaks its connections before anybody finds that it is gone, and it may be back, as
-another incarnation, before the next look.
+Requests that end their upstreams are found from these reports; they are sent to all
+processes.  The records span all incarnations of the upstream.  An upstream that ends
+breaks its connections before a poll finds it unreachable, and it may have restarted, as
+another incarnation, before the next poll.
 """
 
 from __future__ import annotations
@@ -20,25 +21,26 @@
 
 @dataclass(frozen=True, slots=True)
 class _Incarnation:
-    """One incarnation of the upstream as the sidecar counts them."""
+    """One incarnation of the upstream; the sidecar numbers them to name them."""
 
     name: str
     runs: OpenRuns
 
 
 @dataclass(frozen=True, slots=True)
-class Running:
-    """One attempt, at the incarnation that it was sent to."""
+class RunningAttempt:
+    """One attempt and the incarnation that it was sent to."""
 
     incarnation: _Incarnation
     run: Run
 
 
 class UpstreamRuns:
-    """Runs at the upstream of one incarnation of a sidecar, told to
-    ``ended_incarnations``.
+    """The attempts that run at the upstream of one sidecar.
 
-    Not while ``is_leaving``: then the upstream ends by itself.
+    When an incarnation of the upstream ends, its attempts are reported to
+    ``ended_incarnations``.  Nothing is reported while ``is_leaving``: the upstream is
+    then being stopped, and no request is the cause.
     """
 
     def __init__(
@@ -55,49 +57,54 @@
         self._incarnation = ""
         self._upstream_incarnation = self._next_incarnation()
 
-    def began(self, req: DispatchReq) -> Running:
-        """An attempt goes to the upstream."""
+    def record_start(self, req: DispatchReq) -> RunningAttempt:
+        """Record that an attempt is sent to the upstream."""
         request = fingerprint(
             req.workspace, req.method, req.profile, req.path, req.body
         )
-        return Running(
+        return RunningAttempt(
             self._upstream_incarnation, self._upstream_incarnation.runs.began(request)
         )
 
-    def ended(self, running: Running, end: RunEnd) -> None:
-        """An attempt has ended."""
+    def record_end(self, running: RunningAttempt, end: RunEnd) -> None:
+        """Record how an attempt ended."""
         incarnation = running.incarnation
         incarnation.runs.ended(running.run, _now(), end)
         if incarnation.runs.is_over and end is not RunEnd.ANSWERED:
-            self._tell(incarnation, "a connection broke after the end")
+            self._report_end(
+                incarnation, "a connection broke after the upstream had ended"
+            )
 
     def upstream_gone(self, reason: str) -> None:
-        """The upstream grants no connection."""
+        """Record that the upstream accepts no connection."""
         if not self._upstream_incarnation.runs.is_over:
-            self._tell(self._upstream_incarnation, reason)
+            self._report_end(self._upstream_incarnation, reason)
 
     def upstream_there(self, incarnation: str) -> None:
-        """The upstream answers; ``incarnation`` is empty if it does not tell one."""
-        before, self._incarnation = self._incarnation, incarnation
-        is_same = bool(incarnation) and before in ("", incarnation)
+        """Record that the upstream answered a health check.
+
+        ``incarnation`` is empty if the answer names none.
+        """
+        previous, self._incarnation = self._incarnation, incarnation
+        is_same = bool(incarnation) and previous in ("", incarnation)
         if self._upstream_incarnation.runs.is_over and is_same:
             self._upstream_incarnation.runs.back()
         elif self._upstream_incarnation.runs.is_over:
             self._upstream_incarnation = self._next_incarnation()
-        elif before and not is_same:
-            self._tell(self._upstream_incarnation, "it has started again")
+        elif previous and not is_same:
+            self._report_end(self._upstream_incarnation, "the upstream has restarted")
             self._upstream_incarnation = self._next_incarnation()
 
     def _next_incarnation(self) -> _Incarnation:
         self._count += 1
         return _Incarnation(f"{self._prefix}.{self._count}", OpenRuns())
 
-    def _tell(self, incarnation: _Incarnation, reason: str) -> None:
+    def _report_end(self, incarnation: _Incarnation, reason: str) -> None:
         lost = incarnation.runs.over(_now())
         if not self._is_leaving():
             self._ended_incarnations.report(incarnation.name, lost, _now())
-        waiting = [shown(one) for one in lost.waiting]
-        answering = [shown(one) for one in lost.answering]
+        waiting = [shown(request) for request in lost.waiting]
+        answering = [shown(request) for request in lost.answering]
         emit(UpstreamEnded(incarnation.name, reason, waiting, answering))
 
 
--- a/gooseberrydale/process/sidecar/upstream_watch.py
+++ b/gooseberrydale/process/sidecar/upstream_watch.py
@@ -1,7 +1,7 @@
-"""Watches the upstream: whether it answers, which incarnation of it this is, its load.
+"""Polls the upstream for its health, its incarnation and its load.
 
-Lives as long as the sidecar; each call has a connection of its own.  An upstream
-that has no health call, as many plain services, is taken as ready while it answers.
+Each poll uses a connection of its own.  An upstream without a health check, as many
+services are, is considered ready while it answers at all.
 """
 
 from __future__ import annotations
@@ -19,30 +19,33 @@
 from gooseberrydale.version.declarations import ProfileKind
 from gooseberrydale.version.upstream_state import UpstreamState
 
-POLL_S = 0.5
-FAILURES_TO_UNREADY = 2
-# Seconds that the end of an answer may take from a live upstream beside the sidecar;
-# a hundred times what loopback takes on a busy machine.
+POLL_INTERVAL_S = 0.5
+FAILED_POLLS_TO_UNREADY = 2
+# How long an answer may be on its way from a working upstream on the sidecar's machine;
+# a hundred times the time that loopback takes on a busy machine.
 ANSWER_TRANSIT_S = 0.5
 OK = 200
-NO_HEALTH_CALL = frozenset({404, 405, 501})
+NO_HEALTH_CHECK_STATUSES = frozenset({404, 405, 501})
 
 StateListener = Callable[[UpstreamState, UpstreamState], None]
 LoadListener = Callable[[LoadReply], None]
 
 
 class IncarnationListener(Protocol):
-    """Who wants to know whether the upstream is there at each look."""
+    """Receives the result of each poll of the upstream."""
 
     def upstream_gone(self, reason: str) -> None:
-        """It grants no connection."""
+        """The upstream accepts no connection."""
 
     def upstream_there(self, incarnation: str) -> None:
-        """It answers; ``incarnation`` is empty if it does not tell one."""
+        """The upstream answered; ``incarnation`` is empty if it names none."""
 
 
 class UpstreamWatch:
-    """Polls the upstream; ``on_state`` gets the old and the new state."""
+    """Polls the upstream; ``on_state`` is called with the old and the new state.
+
+    ``last_answer_at`` is the start of the last poll that the upstream answered.
+    """
 
     def __init__(
         self,
@@ -57,32 +60,32 @@
         self._on_state = on_state
         self._on_load = on_load
         self._failures = 0
-        self._tells_requests = False
+        self._lists_requests = False
         self._task: asyncio.Task[None] | None = None
-        self._look: asyncio.Task[None] | None = None
+        self._extra_poll: asyncio.Task[None] | None = None
         self._polling = asyncio.Lock()
         self.state = UpstreamState()
-        self.seen_at = 0.0
+        self.last_answer_at = 0.0
 
     async def start(self) -> None:
-        """Look once, then keep watching."""
+        """Poll once, then start polling at intervals."""
         await self.poll()
         self._task = asyncio.create_task(self._run())
 
     async def close(self) -> None:
-        """Stop watching."""
-        tasks = [task for task in (self._task, self._look) if task is not None]
+        """Stop polling."""
+        tasks = [task for task in (self._task, self._extra_poll) if task is not None]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def look_now(self) -> None:
-        """Ask for the health soon, without waiting for it."""
-        if self._look is None or self._look.done():
-            self._look = asyncio.create_task(self.poll())
+    def poll_soon(self) -> None:
+        """Start a poll in the background unless the previous one still runs."""
+        if self._extra_poll is None or self._extra_poll.done():
+            self._extra_poll = asyncio.create_task(self.poll())
 
     async def alive(self) -> bool:
-        """Whether the upstream answers anything at all on a new connection."""
+        """Whether the upstream answers on a new connection, with any status."""
         try:
             await upstream_api.call(self._base_url, "GET", "/health")
         except UpstreamError:
@@ -91,15 +94,17 @@
 
     @property
     def tells_requests(self) -> bool:
-        """Whether the upstream has told which requests it has not ended."""
-        return self._tells_requests
+        """Whether the load report lists the requests that have not ended."""
+        return self._lists_requests
 
     async def lost(self, request_id: str, attempt: int) -> bool:
-        """Whether a request that brought no answer yet is known to bring none.
+        """Whether a request without an answer so far will never be answered.
 
-        An upstream that tells its requests has ended this one, and an answer that
-        was on its way has had ``ANSWER_TRANSIT_S`` to arrive.  One that doesn't tell
-        answers, and lets no request wait.
+        If the load report lists the open requests, one that is not listed is lost; the
+        reply is delayed by ``ANSWER_TRANSIT_S``, in which an answer that is on its way
+        still arrives.  If the report has no such list, the request counts as lost when
+        the upstream has an empty queue.  A service has no load report, and is only
+        asked whether it answers.
         """
         if not self._has_load:
             return await self.alive()
@@ -118,37 +123,37 @@
         return True
 
     async def poll(self) -> None:
-        """Ask for the health now.
+        """Poll the health now.
 
-        Polls run one at a time, so that an older answer never follows a newer one.
+        Polls run one at a time, so that an older answer can't replace a newer one.
         """
         async with self._polling:
-            asked_at = asyncio.get_running_loop().time()
+            started_at = asyncio.get_running_loop().time()
             try:
                 state = await self._health()
             except UpstreamError as exc:
-                self._failed(exc)
+                self._on_poll_failed(exc)
                 return
             self._failures = 0
             self._incarnations.upstream_there(state.incarnation)
-            self._set(state)
-            self.seen_at = asked_at
+            self._set_state(state)
+            self.last_answer_at = started_at
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             await self.poll()
             if self._has_load and self.state.ready:
                 await self._poll_load()
 
     async def _health(self) -> UpstreamState:
         reply = await upstream_api.call(self._base_url, "GET", "/health")
-        if reply.status in NO_HEALTH_CALL:
+        if reply.status in NO_HEALTH_CHECK_STATUSES:
             return UpstreamState(ready=True)
         if reply.status != OK:
             raise UpstreamError(f"status {reply.status}", sent=True)
         if not self._has_load:
-            return _plain_state(reply)
+            return _service_state(reply)
         health = reply.decode(HealthReply)
         return UpstreamState(
             health.ready, health.incarnation, health.model, health.weights_version
@@ -159,31 +164,33 @@
             reply = await upstream_api.call(self._base_url, "GET", "/load")
             if reply.status == OK:
                 load = reply.decode(LoadReply)
-                self._tells_requests = load.requests is not None
+                self._lists_requests = load.requests is not None
                 self._on_load(load)
         except UpstreamError as exc:
-            logger.debug("the upstream does not tell its load: {}", exc)
+            logger.debug("polling the load of the upstream failed: {}", exc)
 
-    def _failed(self, exc: UpstreamError) -> None:
+    def _on_poll_failed(self, exc: UpstreamError) -> None:
         self._failures += 1
         if not exc.sent:
             self._incarnations.upstream_gone(str(exc))
-        if exc.sent and self._failures < FAILURES_TO_UNREADY:
+        if exc.sent and self._failures < FAILED_POLLS_TO_UNREADY:
             return
         old = self.state
-        self._set(UpstreamState(False, old.incarnation, old.model, old.weights_version))
+        self._set_state(
+            UpstreamState(False, old.incarnation, old.model, old.weights_version)
+        )
 
-    def _set(self, state: UpstreamState) -> None:
+    def _set_state(self, state: UpstreamState) -> None:
         old = self.state
         if state == old:
             return
-        logger.info("upstream: {}", state)
+        logger.info("upstream state changed to {}", state)
         self.state = state
         self._on_state(old, state)
 
 
-def _plain_state(reply: Reply) -> UpstreamState:
-    """A plain service may answer its health call in any form."""
+def _service_state(reply: Reply) -> UpstreamState:
+    """The state of a service, whose health check may answer in any format."""
     try:
         health = reply.decode(HealthReply)
     except UpstreamError:
--- a/gooseberrydale/process/sidecar/worker.py
+++ b/gooseberrydale/process/sidecar/worker.py
@@ -1,7 +1,4 @@
-"""Carries an attempt that may start to the upstream, with its cache in mind.
-
-Lives as long as the sidecar.
-"""
+"""Runs attempts at the upstream, after an import of the KV cache that they need."""
 
 from __future__ import annotations
 
@@ -22,7 +19,7 @@
 
 
 class Worker:
-    """Runs attempts; ``prefill_tps`` is the measured prefill rate."""
+    """Runs attempts; ``prefill_tps`` returns the prefill rate in tokens per second."""
 
     def __init__(
         self,
@@ -41,14 +38,14 @@
         self._prefilling: dict[tuple[str, int], int] = {}
 
     def uncached_tokens(self, req: DispatchReq) -> int:
-        """Tokens of the prompt that are not known to be cached."""
+        """Return how many tokens of the prompt are not known to be cached."""
         if not req.pieces:
             return 0
         cached = self._view.cached_tokens(self._keys(req))
         return sum(piece.tokens for piece in req.pieces) - cached
 
     async def run(self, attempt: Attempt) -> None:
-        """Make the call of ``attempt`` and end it."""
+        """Import missing cache pieces, make the upstream call, and end ``attempt``."""
         req = attempt.req
         uncached = self.uncached_tokens(req) - await self._import(req)
         attempt.cached_tokens = sum(p.tokens for p in req.pieces) - uncached
@@ -59,7 +56,7 @@
             del self._prefilling[attempt.key]
 
     async def _call(self, attempt: Attempt) -> None:
-        # Prompts that the upstream has got before are computed first.
+        # Prompts that were sent to the upstream earlier are computed first.
         prefill_s = sum(self._prefilling.values()) / self._prefill_tps()
         call = self._calls.build(attempt.req, prefill_s)
         if isinstance(call, Err):
@@ -71,13 +68,13 @@
         return [(key.hex(), tokens) for key, tokens in self._calls.piece_keys(req)]
 
     async def _import(self, req: DispatchReq) -> int:
-        """Bring in what the store holds; the pieces are then as good as cached."""
+        """Import pieces from the KV store; return the tokens that are then cached."""
         if not self._cfg.kv_store or not req.pieces:
             return 0
         root = self._calls.root(req).hex()
         keys = self._keys(req)
         pieces = [KvPiece(root, key, tokens) for key, tokens in keys]
-        held = self._view.prefix_length(keys)
-        imported = await self._kv.import_missing(pieces[held:])
-        self._kv.used(pieces)
+        cached = self._view.prefix_length(keys)
+        imported = await self._kv.import_missing(pieces[cached:])
+        self._kv.record_use(pieces)
         return imported
