--- a/tests/builders_ending_sidecars.py
+++ b/tests/builders_ending_sidecars.py
@@ -1,4 +1,4 @@
-"""Builders for requests that end their upstreams, before entries and sidecars."""
+"""Builders for tests of requests that end their upstreams behind sidecars."""
 
 from __future__ import annotations
 
@@ -18,36 +18,35 @@
 from tests.builders_mesh import Member, until
 from tests.builders_sidecar import Request, TinyUpstream, Writer, send_body, sidecar_cfg
 
-WORK_S = 0.05
+ANSWER_DELAY_S = 0.05
 
 
 @dataclass
-class Falling:
-    """An upstream that a harmful request ends; it is back after ``BACK_S``.
+class CrashingUpstream:
+    """An upstream that a harmful request ends; it restarts after ``BACK_S``.
 
-    ``tells_incarnations`` says whether its health call names the incarnation that
-    answers.
+    ``names_incarnations`` says whether its health check names its incarnation.
     """
 
-    tells_incarnations: bool = True
+    names_incarnations: bool = True
     incarnations: int = 1
     harmful: int = 0
     upstream: TinyUpstream = field(init=False)
     _writers: set[Writer] = field(default_factory=set)
-    _back: asyncio.Task[None] | None = None
+    _restart_task: asyncio.Task[None] | None = None
 
     def __post_init__(self) -> None:
         self.upstream = TinyUpstream(self._answer)
         self._name_incarnation()
 
     async def close(self) -> None:
-        """Stop for good."""
-        if self._back is not None:
-            self._back.cancel()
+        """Stop the upstream and don't restart it."""
+        if self._restart_task is not None:
+            self._restart_task.cancel()
         await self.upstream.close()
 
     def _name_incarnation(self) -> None:
-        if self.tells_incarnations:
+        if self.names_incarnations:
             self.upstream.health = {
                 "ready": True,
                 "incarnation": f"incarnation{self.incarnations}",
@@ -56,19 +55,19 @@
     async def _answer(self, req: Request, writer: Writer) -> None:
         self._writers.add(writer)
         try:
-            await asyncio.sleep(WORK_S)
+            await asyncio.sleep(ANSWER_DELAY_S)
             if HARMFUL not in req.body:
                 await send_body(writer, b"done")
                 return
             self.harmful += 1
             await self.upstream.close()
-            for one in self._writers:
-                one.transport.abort()
-            self._back = asyncio.create_task(self._come_back())
+            for open_writer in self._writers:
+                open_writer.transport.abort()
+            self._restart_task = asyncio.create_task(self._restart())
         finally:
             self._writers.discard(writer)
 
-    async def _come_back(self) -> None:
+    async def _restart(self) -> None:
         await asyncio.sleep(BACK_S)
         self.incarnations += 1
         self._name_incarnation()
@@ -77,26 +76,26 @@
 
 @dataclass
 class Deployment:
-    """Entries, and upstreams with a sidecar each, that meet at one control."""
+    """Entries, and upstreams with a sidecar each, connected through one control."""
 
     control: Member
     stack: AsyncExitStack
-    upstreams: list[Falling] = field(default_factory=list)
+    upstreams: list[CrashingUpstream] = field(default_factory=list)
     entries: list[Entry] = field(default_factory=list)
 
     @property
     def harmful(self) -> int:
-        """How often a harmful request has reached an upstream."""
-        return sum(one.harmful for one in self.upstreams)
+        """The number of harmful requests that have reached an upstream."""
+        return sum(upstream.harmful for upstream in self.upstreams)
 
     async def add_upstream(
-        self, folder: pathlib.Path, *, tells_incarnations: bool
+        self, folder: pathlib.Path, *, names_incarnations: bool
     ) -> None:
-        """One more upstream with its sidecar."""
-        falling = Falling(tells_incarnations)
-        await falling.upstream.start()
-        self.stack.push_async_callback(falling.close)
-        url = falling.upstream.url
+        """Start another upstream with its sidecar."""
+        crashing = CrashingUpstream(names_incarnations)
+        await crashing.upstream.start()
+        self.stack.push_async_callback(crashing.close)
+        url = crashing.upstream.url
         cfg = sidecar_cfg(folder, url, pool="bidding", kind="service", drain_s=0.1)
         (folder / "token").write_text(TOKEN)
         fleet = replace(cfg.fleet, controls=(self.control.address,))
@@ -104,10 +103,10 @@
         sidecar = Sidecar(replace(cfg, node=node, fleet=fleet))
         await sidecar.start()
         self.stack.push_async_callback(sidecar.close)
-        self.upstreams.append(falling)
+        self.upstreams.append(crashing)
 
     async def add_entry(self) -> Entry:
-        """One more entry, once it knows all upstreams."""
+        """Start another entry and wait until it has records of all upstreams."""
         cfg = make_cfg((self.control.address,))
         entry = Entry(replace(cfg, node=NodeCfg(f"entry-{len(self.entries)}")))
         entry.store.offer(make_config())
@@ -121,7 +120,7 @@
         return entry
 
     async def bid(self, entry: Entry, body: bytes) -> httpx2.Response:
-        """Place a bid, which may run once."""
+        """Send a bid, which must not run more than once."""
         base = f"http://{entry.addresses['http']}"
         headers = {"Authorization": f"Bearer {KEY_A}"}
         async with httpx2.AsyncClient(base_url=base, headers=headers) as client:
@@ -134,15 +133,15 @@
     *,
     upstreams: int = 4,
     entries: int = 2,
-    tells_incarnations: bool,
+    names_incarnations: bool,
 ) -> AsyncIterator[Deployment]:
-    """A deployment that is ready for work."""
+    """Run a deployment whose entries have records of all upstreams."""
     async with AsyncExitStack() as stack:
         control = await Member("control", "c1", token=TOKEN).start()
         stack.push_async_callback(control.close)
-        found = Deployment(control, stack)
+        fleet = Deployment(control, stack)
         for _ in range(upstreams):
-            await found.add_upstream(folder, tells_incarnations=tells_incarnations)
+            await fleet.add_upstream(folder, names_incarnations=names_incarnations)
         for _ in range(entries):
-            await found.add_entry()
-        yield found
+            await fleet.add_entry()
+        yield fleet
--- a/tests/builders_entry.py
+++ b/tests/builders_entry.py
@@ -54,14 +54,14 @@
 KEY_A = "key-of-a"
 KEY_B = "key-of-b"
 HEARTBEAT_S = 0.1
-SCENARIO_S = 40
+TEST_TIMEOUT_S = 40
 T = TypeVar("T")
 _seeds = itertools.count(1)
 Script = Callable[["FakeSidecar", DispatchReq], AsyncIterator[Any]]
 
 
 def make_config(revision: int = 1) -> Config:
-    """Two workspaces, a chat profile and a service that may not be repeated."""
+    """Two workspaces, a chat profile, and a service that is not repeatable."""
     chat = Profile("lots", ProfileKind.COMPLETION, "summary", model="m1")
     bids = Profile("bids", ProfileKind.SERVICE, "bidding", repeatable=False)
     return Config(
@@ -119,7 +119,11 @@
 
 
 class FakeSidecar:
-    """Answers by script and records what it was asked."""
+    """A sidecar that answers with a script and records the requests it got.
+
+    Scripts that wait do so until ``release`` is set.  ``on_attach`` replaces the answer
+    to an attach; without ``cancel_reply`` a cancellation is not answered.
+    """
 
     def __init__(self, name: str, pool: str = "summary") -> None:
         self.name = name
@@ -133,7 +137,7 @@
         self.cancelled: list[CancelReq] = []
         self.pushed: list[int] = []
         self.config = make_config()
-        self.kept: dict[str, list[bytes]] = {}
+        self.sent_events: dict[str, list[bytes]] = {}
         self.release = asyncio.Event()
         self._server = RpcServer("127.0.0.1:0", TOKEN)
 
@@ -147,16 +151,16 @@
         await self._server.start()
 
     async def close(self) -> None:
-        """Stop listening and break running calls."""
+        """Stop listening and abort running calls."""
         await self._server.close()
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port that it listens on."""
         return self._server.port
 
     def record(self, port: int | None = None) -> UpstreamRecord:
-        """What this sidecar announces, reached through ``port`` if given."""
+        """The record that this sidecar announces; ``port`` replaces its own port."""
         return UpstreamRecord(
             name=self.name,
             incarnation=self.incarnation,
@@ -173,7 +177,7 @@
         )
 
     def accepted(self, req: DispatchReq, status: int = 200) -> Accepted:
-        """The frame that opens an answer."""
+        """The first frame of an answer."""
         return Accepted(
             req.request_id,
             req.attempt,
@@ -186,20 +190,20 @@
         )
 
     def chunk(self, req: DispatchReq, offset: int, *events: bytes) -> Chunk:
-        """Events from ``offset`` on."""
+        """A frame with events from ``offset`` on."""
         return Chunk(req.request_id, req.attempt, req.incarnation, offset, events)
 
     def end(self, req: DispatchReq, offset: int) -> End:
-        """The end of a whole answer of ``offset`` events."""
+        """The last frame of a complete answer of ``offset`` events."""
         return End(req.request_id, req.attempt, req.incarnation, offset, Load())
 
-    def refused(self, req: DispatchReq, why: Any) -> Refused:
-        """A refusal."""
+    def refused(self, req: DispatchReq, reason: Any) -> Refused:
+        """The frame that refuses a dispatch."""
         return Refused(
             req.request_id,
             req.attempt,
             req.incarnation,
-            why,
+            reason,
             Load(),
             self.config.revision,
         )
@@ -208,7 +212,7 @@
         self.dispatched.append(req)
         async for frame in self.script(self, req):
             if isinstance(frame, Chunk):
-                self.kept.setdefault(req.request_id, []).extend(frame.events)
+                self.sent_events.setdefault(req.request_id, []).extend(frame.events)
             yield frame
 
     async def _attach(self, req: AttachReq) -> AsyncIterator[Any]:
@@ -217,31 +221,31 @@
             async for frame in self.on_attach(req):
                 yield frame
             return
-        mine = [d for d in self.dispatched if d.request_id == req.request_id]
-        if not mine or mine[-1].workspace != req.workspace:
+        matching = [d for d in self.dispatched if d.request_id == req.request_id]
+        if not matching or matching[-1].workspace != req.workspace:
             async for frame in self.refuse_attach(req):
                 yield frame
             return
-        async for frame in self.rest(mine[-1], req.offset):
+        async for frame in self.resume(matching[-1], req.offset):
             yield frame
 
     async def refuse_attach(self, req: AttachReq) -> AsyncIterator[Any]:
-        """The answer to an attach to a stream that is not kept."""
-        why = problem(UNKNOWN_STREAM, request_id=req.request_id, offset=req.offset)
+        """Answer an attach to a stream that the sidecar does not retain."""
+        reason = problem(UNKNOWN_STREAM, request_id=req.request_id, offset=req.offset)
         yield Refused(
             req.request_id,
             req.attempt,
             req.incarnation,
-            why,
+            reason,
             Load(),
             self.config.revision,
         )
 
-    async def rest(self, req: DispatchReq, offset: int) -> AsyncIterator[Any]:
-        """All of ``answer_words`` from ``offset`` on."""
+    async def resume(self, req: DispatchReq, offset: int) -> AsyncIterator[Any]:
+        """The answer of ``answer_words`` from ``offset`` on."""
         yield self.accepted(req)
-        for at, event in list(enumerate(WORD_EVENTS))[offset:]:
-            yield self.chunk(req, at, event)
+        for number, event in list(enumerate(WORD_EVENTS))[offset:]:
+            yield self.chunk(req, number, event)
         yield self.end(req, len(WORD_EVENTS))
 
     async def _cancel(self, req: CancelReq) -> CancelReply:
@@ -262,11 +266,11 @@
 
 WORDS = ("Lot ", "42 ", "runs ", "well.")
 TEXT = "".join(WORDS)
-WORD_EVENTS = (*(chat_event(w) for w in WORDS), chat_event(None, "stop"))
+WORD_EVENTS = (*(chat_event(word) for word in WORDS), chat_event(None, "stop"))
 
 
 async def answer_words(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """A whole answer at once, streamed or not."""
+    """Send a complete answer, streamed or not, without waiting."""
     yield fake.accepted(req)
     events = WORD_EVENTS if req.stream else (chat_body("".join(WORDS)),)
     for offset, event in enumerate(events, req.first_offset):
@@ -275,7 +279,7 @@
 
 
 async def beat(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """Heartbeats until the fake's ``release`` is set."""
+    """Send heartbeats until ``release`` of the fake is set."""
     while not fake.release.is_set():
         yield Heartbeat(req.request_id, Load())
         with contextlib.suppress(TimeoutError):
@@ -286,45 +290,45 @@
 async def running(
     *fakes: FakeSidecar, config: Config | None = None, **entry: Any
 ) -> AsyncIterator[Entry]:
-    """An entry that knows ``fakes``, all started and closed again."""
+    """Run an entry that has the records of ``fakes``, and the fakes."""
     for fake in fakes:
         await fake.start()
-    made = Entry(make_cfg(**entry), random.Random(next(_seeds)))
-    await made.start()
+    started = Entry(make_cfg(**entry), random.Random(next(_seeds)))
+    await started.start()
     try:
-        made.store.offer(config if config is not None else make_config())
-        introduce(made, *fakes)
-        yield made
+        started.store.offer(config if config is not None else make_config())
+        announce(started, *fakes)
+        yield started
     finally:
         for fake in fakes:
             fake.release.set()
-        await made.close()
+        await started.close()
         for fake in fakes:
             await fake.close()
 
 
-def introduce(entry: Entry, *fakes: FakeSidecar, port: int | None = None) -> None:
-    """Let the entry know the fakes as if they had announced themselves."""
+def announce(entry: Entry, *fakes: FakeSidecar, port: int | None = None) -> None:
+    """Add the records of the fakes to the entry, as if they were announced."""
     now = asyncio.get_running_loop().time()
     for fake in fakes:
         entry.directory.offer(fake.record(port), now)
 
 
 def openai_client(entry: Entry, key: str = KEY_A) -> openai.AsyncOpenAI:
-    """The unmodified client, without retries of its own."""
+    """An unmodified OpenAI client without retries."""
     return openai.AsyncOpenAI(
         base_url=f"http://{entry.addresses['http']}/v1", api_key=key, max_retries=0
     )
 
 
 async def ask(client: openai.AsyncOpenAI, **fields: Any) -> Any:
-    """Ask for a chat completion."""
+    """Request a chat completion."""
     fields = {"model": "lots", "messages": ASK, **fields}
     return await client.chat.completions.create(**fields)
 
 
 async def read_text(stream: Any) -> str:
-    """The whole text of a streamed answer, whose events name the profile."""
+    """Read the text of a streamed answer; its events must name the profile."""
     parts = []
     async for event in stream:
         assert event.model == "lots"
@@ -333,22 +337,22 @@
 
 
 async def read_stream(client: openai.AsyncOpenAI, **fields: Any) -> str:
-    """Ask for a stream and read its whole text."""
+    """Request a streamed chat completion and read its text."""
     return await read_text(await ask(client, stream=True, **fields))
 
 
 def run(scenario: Coroutine[Any, Any, T]) -> T:
-    """Run a test's scenario on a loop of its own, within a generous bound."""
+    """Run a scenario on a new event loop, within a generous time limit."""
 
     async def bounded() -> T:
-        async with asyncio.timeout(SCENARIO_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             return await scenario
 
     return asyncio.run(bounded())
 
 
-async def until(condition: Callable[[], bool]) -> None:
-    """Wait for ``condition``, which must come true within a generous bound."""
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Wait until ``condition`` is true; fail after ten seconds."""
     async with asyncio.timeout(10):
         while not condition():
             await asyncio.sleep(0.01)
--- a/tests/builders_sidecar.py
+++ b/tests/builders_sidecar.py
@@ -1,4 +1,4 @@
-"""Builders for tests of the sidecar: settings, dispatches, and a tiny upstream."""
+"""Builders for tests of the sidecar: settings, dispatches, and a minimal upstream."""
 
 from __future__ import annotations
 
@@ -15,6 +15,7 @@
 
 TOKEN = "token-of-the-tests"
 
+# Paths that the sidecar polls; the upstream answers 404 unless a test clears the tuple.
 WATCHED = ("/load", "/cache/events", "/cache/snapshot")
 
 Writer = asyncio.StreamWriter
@@ -23,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One HTTP request as the tiny upstream read it."""
+    """One HTTP request as the upstream received it."""
 
     method: str
     target: str
@@ -32,10 +33,11 @@
 
 
 class TinyUpstream:
-    """A raw HTTP server; ``answer`` writes what follows a request.
+    """A minimal HTTP server whose ``answer`` writes the raw response to a request.
 
-    ``GET /health`` answers by itself.  ``requests`` holds the work; ``gone`` counts
-    connections that the client closed before the answer was whole.
+    ``GET /health`` is answered with ``health``.  ``requests`` holds all requests but
+    polls; ``disconnected`` counts connections that the client closed before the answer
+    was complete.
     """
 
     def __init__(self, answer: Answer, health: dict[str, Any] | None = None) -> None:
@@ -43,13 +45,13 @@
         self.health = health if health is not None else {"ready": True}
         self.requests: list[Request] = []
         self.connections = 0
-        self.gone = 0
+        self.disconnected = 0
         self.port = 0
         self._server: asyncio.Server | None = None
 
     @property
     def url(self) -> str:
-        """Base address."""
+        """The base URL."""
         return f"http://127.0.0.1:{self.port}"
 
     async def start(self) -> None:
@@ -83,14 +85,14 @@
             return
         self.requests.append(req)
         answer = asyncio.create_task(self.answer(req, writer))  # type: ignore[arg-type]
-        leave = asyncio.create_task(reader.read(1))
-        await asyncio.wait([answer, leave], return_when=asyncio.FIRST_COMPLETED)
-        # Writing to a closed connection may fail before reading shows its end.
+        disconnect = asyncio.create_task(reader.read(1))
+        await asyncio.wait([answer, disconnect], return_when=asyncio.FIRST_COMPLETED)
+        # Writing to a closed connection may fail before reading returns its end.
         if not answer.done() or answer.exception() is not None:
-            self.gone += 1
+            self.disconnected += 1
         answer.cancel()
-        leave.cancel()
-        await asyncio.wait([answer, leave])
+        disconnect.cancel()
+        await asyncio.wait([answer, disconnect])
 
 
 async def _read_request(reader: asyncio.StreamReader) -> Request | None:
@@ -108,14 +110,14 @@
 async def send_body(
     writer: Writer, body: bytes, status: str = "200 OK", kind: str = "application/json"
 ) -> None:
-    """Answer with one body of known length."""
+    """Write a response with a body of known length."""
     head = f"HTTP/1.1 {status}\r\ncontent-type: {kind}\r\n"
     writer.write(f"{head}content-length: {len(body)}\r\n\r\n".encode() + body)
     await writer.drain()
 
 
 async def send_events(writer: Writer, events: list[bytes], done: bool = True) -> None:
-    """Answer with a whole event stream."""
+    """Write a complete event stream, or one without its end marker."""
     await start_stream(writer)
     for event in events:
         await send_event(writer, event)
@@ -126,7 +128,7 @@
 
 
 async def start_stream(writer: Writer) -> None:
-    """Answer with the head of an event stream."""
+    """Write the head of an event stream."""
     writer.write(
         b"HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
         b"transfer-encoding: chunked\r\n\r\n"
@@ -135,7 +137,7 @@
 
 
 async def send_event(writer: Writer, event: bytes) -> None:
-    """Send one event as one chunk."""
+    """Write one event as one HTTP chunk."""
     data = b"data: " + event + b"\n\n"
     writer.write(f"{len(data):x}\r\n".encode() + data + b"\r\n")
     await writer.drain()
@@ -143,7 +145,7 @@
 
 @asynccontextmanager
 async def tiny_upstream(answer: Answer) -> AsyncIterator[TinyUpstream]:
-    """A running tiny upstream."""
+    """Run a :class:`TinyUpstream`."""
     upstream = TinyUpstream(answer)
     await upstream.start()
     try:
@@ -153,7 +155,7 @@
 
 
 def sidecar_cfg(folder: pathlib.Path, upstream: str, **settings: Any) -> Cfg:
-    """Settings of a sidecar on a free port, with short times."""
+    """Settings of a sidecar that listens on a free port."""
     token_file = folder / "token"
     token_file.write_text(TOKEN + "\n")
     defaults: dict[str, Any] = {
@@ -172,7 +174,7 @@
 
 
 def dispatch_req(incarnation: str, **fields: Any) -> DispatchReq:
-    """A streamed chat completion."""
+    """A dispatch of a streamed chat completion."""
     defaults: dict[str, Any] = {
         "request_id": "req-1",
         "attempt": 1,
--- a/tests/sidecar_bench.py
+++ b/tests/sidecar_bench.py
@@ -1,4 +1,4 @@
-"""A sidecar in this process with a channel to it, for tests on real sockets."""
+"""Runs a sidecar in the test's process, with a channel to it over real sockets."""
 
 from __future__ import annotations
 
@@ -21,16 +21,19 @@
 from gooseberrydale.process.sidecar import Sidecar
 from tests.builders_sidecar import TOKEN, TinyUpstream, dispatch_req, sidecar_cfg
 
-BOUND_S = 20.0
+TEST_TIMEOUT_S = 20.0
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a test's body within a generous bound."""
-    asyncio.run(asyncio.wait_for(main, BOUND_S))
+    """Run the body of a test; fail if it takes longer than a generous limit."""
+    asyncio.run(asyncio.wait_for(main, TEST_TIMEOUT_S))
 
 
-class Bench:
-    """A sidecar and a channel to it; ``upstream`` if the test has a tiny one."""
+class SidecarHarness:
+    """A sidecar and a channel to it.
+
+    ``upstream`` is set if the test uses a :class:`TinyUpstream`.
+    """
 
     upstream: TinyUpstream
 
@@ -39,12 +42,12 @@
         self.channel = RpcChannel(sidecar.addresses["rpc"], TOKEN)
 
     def dispatch(self, **fields: Any) -> Any:
-        """Start a dispatch; ``incarnation`` is this sidecar's unless given."""
+        """Start a dispatch; ``incarnation`` defaults to that of this sidecar."""
         incarnation = fields.pop("incarnation", self.sidecar.incarnation)
         return self.channel.call(DISPATCH, dispatch_req(incarnation, **fields))
 
     def attach(self, offset: int, workspace: str = "workspace-a") -> Any:
-        """Ask for the answer to ``req-1`` again."""
+        """Attach to the answer to ``req-1`` at ``offset``."""
         req = AttachReq("req-1", self.sidecar.incarnation, workspace, offset)
         return self.channel.call(ATTACH, req)
 
@@ -57,22 +60,22 @@
 
 
 @asynccontextmanager
-async def bench(
+async def running_sidecar(
     folder: pathlib.Path, upstream: str, **settings: Any
-) -> AsyncIterator[Bench]:
-    """A running sidecar before the upstream at that address."""
+) -> AsyncIterator[SidecarHarness]:
+    """Run a sidecar in front of the upstream at the address ``upstream``."""
     sidecar = Sidecar(sidecar_cfg(folder, upstream, **settings))
     await sidecar.start()
-    made = Bench(sidecar)
+    harness = SidecarHarness(sidecar)
     try:
-        yield made
+        yield harness
     finally:
-        await made.channel.close()
+        await harness.channel.close()
         await sidecar.close()
 
 
-async def frames_of(call: Any) -> list[Any]:
-    """All frames to come but heartbeats."""
+async def read_frames(call: Any) -> list[Any]:
+    """Read all remaining frames of a call but heartbeats."""
     frames = []
     while (frame := await call.read()) is not grpc.aio.EOF:
         if not isinstance(frame, Heartbeat):
@@ -80,8 +83,8 @@
     return frames
 
 
-async def frames_until(call: Any, count: int) -> list[bytes]:
-    """The first ``count`` events."""
+async def read_events(call: Any, count: int) -> list[bytes]:
+    """Read the next ``count`` events of a call, or a few more from the same chunk."""
     events: list[bytes] = []
     while len(events) < count:
         frame = await call.read()
@@ -91,5 +94,5 @@
 
 
 def events_of(frames: list[Any]) -> list[bytes]:
-    """The events of all chunks."""
+    """The events of all chunks among ``frames``."""
     return [e for frame in frames if isinstance(frame, Chunk) for e in frame.events]
--- a/tests/test_attempt.py
+++ b/tests/test_attempt.py
@@ -1,4 +1,4 @@
-"""One answer and its readers, on a paused clock."""
+"""The answer of one attempt and its readers, on a simulated clock."""
 
 from __future__ import annotations
 
@@ -24,22 +24,22 @@
 FAILED = problem(UPSTREAM_FAILED, not_run=False)
 
 
-def attempt(replay_bytes: int = 1_000) -> Attempt:
+def make_attempt(replay_bytes: int = 1_000) -> Attempt:
     return Attempt(dispatch_req("incarnation-1"), replay_bytes, Load, lambda: 3)
 
 
-async def kinds(made: Attempt, offset: int = 0) -> list[Any]:
-    return [type(frame) async for frame in made.frames(offset)]
+async def frame_types(attempt: Attempt, offset: int = 0) -> list[Any]:
+    return [type(frame) async for frame in attempt.frames(offset)]
 
 
-def test_what_came_meanwhile_goes_as_one_chunk() -> None:
+def test_events_that_accumulated_are_sent_as_one_chunk() -> None:
     async def main() -> None:
-        made = attempt()
-        made.head(200, ())
+        attempt = make_attempt()
+        attempt.set_head(200, ())
         for event in (b"a", b"b", b"c"):
-            await made.write((event,))
-        made.end()
-        frames = [frame async for frame in made.frames(1)]
+            await attempt.write((event,))
+        attempt.end()
+        frames = [frame async for frame in attempt.frames(1)]
         assert [type(frame) for frame in frames] == [Accepted, Chunk, End]
         assert frames[1].offset == 1
         assert frames[1].events == (b"b", b"c")
@@ -48,69 +48,69 @@
     run_paused(main())
 
 
-def test_a_heartbeat_is_sent_each_second_in_which_nothing_else_is() -> None:
+def test_a_heartbeat_is_sent_for_each_second_without_other_frames() -> None:
     async def main() -> None:
-        made = attempt()
-        reading = asyncio.create_task(kinds(made))
+        attempt = make_attempt()
+        reading = asyncio.create_task(frame_types(attempt))
         await asyncio.sleep(2.5)
-        made.head(200, ())
-        made.end()
+        attempt.set_head(200, ())
+        attempt.end()
         assert await reading == [Heartbeat, Heartbeat, Accepted, End]
 
     run_paused(main())
 
 
-def test_the_end_says_whether_an_answer_had_begun() -> None:
+def test_the_last_frame_shows_whether_the_answer_had_begun() -> None:
     async def main() -> None:
-        for begun, last in ((False, Refused), (True, Failed)):
-            made = attempt()
-            if begun:
-                made.head(200, ())
-            made.end(FAILED)
-            assert (await kinds(made))[-1] is last
+        for has_head, last_frame in ((False, Refused), (True, Failed)):
+            attempt = make_attempt()
+            if has_head:
+                attempt.set_head(200, ())
+            attempt.end(FAILED)
+            assert (await frame_types(attempt))[-1] is last_frame
 
     run_paused(main())
 
 
-def test_a_newer_reader_takes_over_and_the_older_one_ends() -> None:
+def test_a_newer_reader_replaces_the_older_one() -> None:
     async def main() -> None:
-        made = attempt()
-        made.head(200, ())
-        await made.write((b"a",))
-        older = asyncio.create_task(kinds(made))
+        attempt = make_attempt()
+        attempt.set_head(200, ())
+        await attempt.write((b"a",))
+        older = asyncio.create_task(frame_types(attempt))
         await asyncio.sleep(0.1)
-        newer = asyncio.create_task(kinds(made))
+        newer = asyncio.create_task(frame_types(attempt))
         assert await older == [Accepted, Chunk]
-        await made.write((b"b",))
-        made.end()
+        await attempt.write((b"b",))
+        attempt.end()
         assert (await newer)[-1] is End
-        assert made.readers == 0
+        assert attempt.readers == 0
 
     run_paused(main())
 
 
 def test_the_writer_waits_for_a_slow_reader() -> None:
     async def main() -> None:
-        made = attempt(replay_bytes=4)
-        made.head(200, ())
-        writing = asyncio.create_task(made.write((b"12345",)))
+        attempt = make_attempt(replay_bytes=4)
+        attempt.set_head(200, ())
+        writing = asyncio.create_task(attempt.write((b"12345",)))
         await asyncio.sleep(5)
         assert not writing.done()
-        reading = asyncio.create_task(kinds(made))
+        reading = asyncio.create_task(frame_types(attempt))
         await writing
-        made.end()
+        attempt.end()
         assert await reading == [Accepted, Chunk, End]
 
     run_paused(main())
 
 
-def test_an_answer_ends_once() -> None:
+def test_an_answer_cannot_end_twice_or_complete_without_a_head() -> None:
     async def main() -> None:
-        made = attempt()
+        attempt = make_attempt()
         with pytest.raises(InvariantError):
-            made.end()
-        made.end(FAILED)
+            attempt.end()
+        attempt.end(FAILED)
         with pytest.raises(InvariantError):
-            made.end(FAILED)
+            attempt.end(FAILED)
 
     run_paused(main())
--- a/tests/test_entry_answers.py
+++ b/tests/test_entry_answers.py
@@ -1,4 +1,4 @@
-"""Answers to an unmodified client, plain and streamed."""
+"""Answers to an unmodified OpenAI client, streamed or not."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 
-def test_plain_chat_answer_names_the_profile() -> None:
+def test_unstreamed_chat_answer_names_the_profile() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         async with running(fake) as entry, openai_client(entry) as client:
@@ -35,7 +35,7 @@
     run(scenario())
 
 
-def test_streamed_chat_answer_is_whole() -> None:
+def test_streamed_chat_answer_is_complete() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         async with running(fake) as entry, openai_client(entry) as client:
@@ -46,39 +46,39 @@
 
 
 async def echo_late(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """Answers with the prompt; the first request's answer comes last."""
-    asked = "first" if b"first" in req.body else "second"
-    if asked == "first":
+    """Answer with the word of the prompt; the first request is answered last."""
+    word = "first" if b"first" in req.body else "second"
+    if word == "first":
         await asyncio.wait_for(fake.release.wait(), 5)
     else:
         asyncio.get_running_loop().call_later(0.05, fake.release.set)
     yield fake.accepted(req)
     if req.stream:
-        yield fake.chunk(req, 0, chat_event(asked))
+        yield fake.chunk(req, 0, chat_event(word))
         yield fake.chunk(req, 1, chat_event(None, "stop"))
         yield fake.end(req, 2)
     else:
-        yield fake.chunk(req, 0, chat_body(asked))
+        yield fake.chunk(req, 0, chat_body(word))
         yield fake.end(req, 1)
 
 
-def test_answers_that_cross_reach_their_own_callers() -> None:
+def test_answers_in_another_order_reach_their_own_callers() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         fake.script = echo_late
         async with running(fake) as entry, openai_client(entry) as client:
-            asks = [[{"role": "user", "content": c}] for c in ("first", "second")]
-            plain, stream = await asyncio.gather(
-                ask(client, messages=asks[0]),
-                ask(client, messages=asks[1], stream=True),
+            prompts = [[{"role": "user", "content": c}] for c in ("first", "second")]
+            unstreamed, stream = await asyncio.gather(
+                ask(client, messages=prompts[0]),
+                ask(client, messages=prompts[1], stream=True),
             )
-            assert plain.choices[0].message.content == "first"
+            assert unstreamed.choices[0].message.content == "first"
             assert await read_text(stream) == "second"
 
     run(scenario())
 
 
-def test_models_are_the_profiles_of_the_workspace() -> None:
+def test_listed_models_are_the_profiles_of_the_workspace() -> None:
     async def scenario() -> None:
         async with running() as entry, openai_client(entry) as client:
             names = [model.id async for model in client.models.list()]
--- a/tests/test_entry_claims.py
+++ b/tests/test_entry_claims.py
@@ -36,7 +36,7 @@
     make_config,
     run,
     running,
-    until,
+    wait_until,
 )
 
 KEY = "bid-1"
@@ -45,15 +45,15 @@
 
 @contextlib.asynccontextmanager
 async def fleet(*fakes: FakeSidecar, **entry: Any) -> AsyncIterator[tuple[Entry, Any]]:
-    """An entry, the leader that keeps its claims, and a replica that doesn't lead."""
+    """Run an entry, the leader that stores its claims, and a follower."""
     leader = FakeControl(ClaimTable())
     await leader.start()
     follower = FakeControl(None, leader.address)
     await follower.start()
     controls = (follower.address, leader.address)
     try:
-        async with running(*fakes, controls=controls, **entry) as made:
-            yield made, leader
+        async with running(*fakes, controls=controls, **entry) as started:
+            yield started, leader
     finally:
         await follower.close()
         await leader.close()
@@ -76,7 +76,7 @@
         return await client.post("/services/bids/lots/42", content=body)
 
 
-def code_of(answer: httpx2.Response) -> str:
+def error_code(answer: httpx2.Response) -> str:
     return str(answer.json()["error"]["code"])
 
 
@@ -96,16 +96,16 @@
     run(scenario())
 
 
-def test_resend_joins_the_running_call() -> None:
+def test_resend_attaches_to_the_running_call() -> None:
     async def scenario() -> None:
         fake = service()
         keep_bid(fake)
         async with fleet(fake) as (entry, _):
             first = asyncio.create_task(bid(entry))
-            await until(lambda: bool(fake.dispatched))
+            await wait_until(lambda: bool(fake.dispatched))
             others = [asyncio.create_task(bid(entry)) for _ in range(2)]
-            await until(lambda: len(fake.attached) >= 2)
-            # Readers that took it from each other would have given up by now.
+            await wait_until(lambda: len(fake.attached) >= 2)
+            # Readers that replaced each other would have failed by now.
             await asyncio.sleep(0.5)
             fake.release.set()
             answers = await asyncio.gather(first, *others)
@@ -115,19 +115,19 @@
     run(scenario())
 
 
-def test_other_body_under_the_same_key_is_refused() -> None:
+def test_resend_with_another_body_is_refused() -> None:
     async def scenario() -> None:
         fake = service()
         async with fleet(fake) as (entry, _):
             await bid(entry)
             answer = await bid(entry, body=b"10")
-        assert code_of(answer) == "idempotency_key_reused"
+        assert error_code(answer) == "idempotency_key_reused"
         assert len(fake.dispatched) == 1
 
     run(scenario())
 
 
-def test_same_key_of_another_workspace_is_another_claim() -> None:
+def test_workspaces_have_separate_keys() -> None:
     async def scenario() -> None:
         fake = service()
         config = make_config()
@@ -149,7 +149,7 @@
             unkeyed = await bid(entry, key="")
             leader.has_quorum = True
             again = await bid(entry)
-        assert code_of(refused) == "claim_unavailable"
+        assert error_code(refused) == "claim_unavailable"
         assert refused.json()["error"]["not_run"] is True
         assert "retry-after" in refused.headers
         assert (unkeyed.status_code, again.status_code) == (201, 201)
@@ -159,15 +159,15 @@
 
 
 @pytest.mark.parametrize("reachable", [True, False], ids=["tombstone", "unreachable"])
-def test_claim_that_was_never_sent_moves_only_with_a_tombstone(reachable: bool) -> None:
+def test_claim_without_a_dispatch_moves_only_with_a_tombstone(reachable: bool) -> None:
     async def scenario() -> None:
         lost, fake = service("s1"), service("s2")
-        for one in (lost, fake):
-            one.cancel_reply = CancelReply(not_run=True)
+        for sidecar in (lost, fake):
+            sidecar.cancel_reply = CancelReply(not_run=True)
         lost.on_attach = lost.refuse_attach
         await lost.start()
         async with fleet(fake) as (entry, leader):
-            # The entry that claimed the key was lost before its dispatch.
+            # The entry that claimed the key was lost before it dispatched the attempt.
             await bid(entry, key="other")
             digest = leader.table.records[0].digest
             claim = ClaimReq(
@@ -181,27 +181,29 @@
         if reachable:
             await lost.close()
             assert answer.status_code == 201 and len(fake.dispatched) == 2
-            [given_up] = lost.cancelled
-            assert (given_up.request_id, given_up.record_seq) == ("lost", SEQ)
+            [cancellation] = lost.cancelled
+            assert (cancellation.request_id, cancellation.record_seq) == ("lost", SEQ)
             assert record.holder.request_id == fake.dispatched[1].request_id
         else:
-            assert code_of(answer) == "outcome_unknown"
+            assert error_code(answer) == "outcome_unknown"
             assert len(fake.dispatched) == 1
 
     run(scenario())
 
 
-def test_answer_is_recorded_when_the_caller_went_away() -> None:
+def test_answer_is_recorded_after_the_caller_disconnected() -> None:
     async def scenario() -> None:
         fake = service(script=answer_bid_late)
         async with fleet(fake) as (entry, leader):
             first = asyncio.create_task(bid(entry))
-            await until(lambda: bool(fake.dispatched))
+            await wait_until(lambda: bool(fake.dispatched))
             first.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await first
             fake.release.set()
-            await until(lambda: any(isinstance(r, FinishReq) for r in leader.asked))
+            await wait_until(
+                lambda: any(isinstance(r, FinishReq) for r in leader.asked)
+            )
             answer = await bid(entry)
         assert (answer.status_code, answer.content) == (201, BID_BODY)
         assert len(fake.dispatched) == 1 and fake.cancelled == []
@@ -210,40 +212,42 @@
 
 
 async def refuse(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """A queue that is full."""
+    """Refuse, since the queue is full."""
     yield fake.refused(req, problem(QUEUE_FULL, retry_after_s=1.0))
 
 
-def test_refused_call_frees_its_key() -> None:
+def test_refused_call_releases_its_key() -> None:
     async def scenario() -> None:
         fake = service(script=refuse)
         async with fleet(fake) as (entry, leader):
             refused = await bid(entry)
-            await until(lambda: not leader.table.records)
+            await wait_until(lambda: not leader.table.records)
             fake.script = answer_bid
             answer = await bid(entry)
-        assert code_of(refused) == "queue_full"
+        assert error_code(refused) == "queue_full"
         assert answer.status_code == 201
 
     run(scenario())
 
 
-async def break_at_once(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """The call breaks before anything was accepted."""
+async def break_before_accepting(
+    fake: FakeSidecar, req: DispatchReq
+) -> AsyncIterator[Any]:
+    """Break the call before it is accepted."""
     raise RuntimeError("scripted")
     yield
 
 
-def test_claim_moves_to_the_attempt_elsewhere() -> None:
+def test_claim_moves_to_the_attempt_at_another_upstream() -> None:
     async def scenario() -> None:
         fakes = service("s1"), service("s2")
         for fake in fakes:
             fake.cancel_reply = CancelReply(not_run=True)
             fake.on_attach = fake.refuse_attach
-        first_takes = [break_at_once]
+        first_script = [break_before_accepting]
 
         def script(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-            chosen = first_takes.pop() if first_takes else answer_bid
+            chosen = first_script.pop() if first_script else answer_bid
             return chosen(fake, req)
 
         for fake in fakes:
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -1,4 +1,4 @@
-"""Faults between the entry and its sidecars, and what the caller sees of them."""
+"""Faults between an entry and its sidecars, and the answers that callers get."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
     WORD_EVENTS,
     WORDS,
     FakeSidecar,
+    announce,
     answer_words,
     ask,
     beat,
     chat_event,
-    introduce,
     make_config,
     openai_client,
     read_stream,
     run,
     running,
-    until,
+    wait_until,
 )
 from tests.relay import Relay
 
@@ -46,48 +46,52 @@
 
 
 async def start_words(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """Two words of the answer."""
+    """Send two words of the answer."""
     yield fake.accepted(req)
     for offset, event in enumerate(WORD_EVENTS[:2]):
         yield fake.chunk(req, offset, event)
 
 
 async def stall(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """Two words, then only heartbeats."""
+    """Send two words, then only heartbeats."""
     async for frame in start_words(fake, req):
         yield frame
     async for frame in beat(fake, req):
         yield frame
 
 
-def fail(why: Problem) -> Callable[[FakeSidecar, DispatchReq], AsyncIterator[Any]]:
-    """Two words, then the upstream fails."""
+def fail(reason: Problem) -> Callable[[FakeSidecar, DispatchReq], AsyncIterator[Any]]:
+    """A script that sends two words, after which the upstream fails."""
 
     async def script(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
         async for frame in start_words(fake, req):
             yield frame
-        yield Failed(req.request_id, req.attempt, req.incarnation, 2, why, Load())
+        yield Failed(req.request_id, req.attempt, req.incarnation, 2, reason, Load())
 
     return script
 
 
-async def break_off(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """Two words, then the call breaks, and attaching is refused."""
+async def break_after_two_words(
+    fake: FakeSidecar, req: DispatchReq
+) -> AsyncIterator[Any]:
+    """Send two words, then break the call and refuse to attach."""
     async for frame in start_words(fake, req):
         yield frame
     fake.on_attach = fake.refuse_attach
     raise RuntimeError("scripted")
 
 
-async def break_at_once(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """The call breaks before anything was accepted."""
+async def break_before_accepting(
+    fake: FakeSidecar, req: DispatchReq
+) -> AsyncIterator[Any]:
+    """Break the call before it is accepted, and refuse to attach."""
     fake.on_attach = fake.refuse_attach
     raise RuntimeError("scripted")
     yield
 
 
-async def go_on(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """The rest of the answer for a request that is resumed."""
+async def resume_answer(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
+    """Send the rest of the answer to a request that is resumed."""
     yield fake.accepted(req)
     for offset in range(req.first_offset, len(WORD_EVENTS)):
         yield fake.chunk(req, offset, WORD_EVENTS[offset])
@@ -95,12 +99,12 @@
 
 
 async def refuse(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """A queue that is full."""
+    """Refuse, since the queue is full."""
     yield fake.refused(req, problem(QUEUE_FULL, retry_after_s=2.0))
 
 
-async def answer_plain(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """A service's answer."""
+async def answer_service(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
+    """Send the answer of a service."""
     yield fake.accepted(req, status=201)
     yield fake.chunk(req, 0, b'{"bid":')
     yield fake.chunk(req, 1, b"9}")
@@ -108,29 +112,29 @@
 
 
 def pair(first: Any, then: Any, pool: str = "summary") -> list[FakeSidecar]:
-    """Two sidecars: whichever is asked first follows ``first``, the other ``then``."""
+    """Two sidecars: the first to get a request runs ``first``, the other ``then``."""
     fakes = [FakeSidecar("u1", pool), FakeSidecar("u2", pool)]
     for fake, other in (fakes, fakes[::-1]):
 
         def script(
-            me: FakeSidecar, req: DispatchReq, other: FakeSidecar = other
+            sidecar: FakeSidecar, req: DispatchReq, other: FakeSidecar = other
         ) -> AsyncIterator[Any]:
             chosen = then if other.dispatched else first
-            return chosen(me, req)  # type: ignore[no-any-return]
+            return chosen(sidecar, req)  # type: ignore[no-any-return]
 
         fake.script = script
     return fakes
 
 
 def dispatches(fakes: list[FakeSidecar]) -> list[DispatchReq]:
-    """All dispatches, by attempt."""
-    found = [req for fake in fakes for req in fake.dispatched]
-    return sorted(found, key=lambda req: req.attempt)
+    """All dispatches, ordered by attempt."""
+    reqs = [req for fake in fakes for req in fake.dispatched]
+    return sorted(reqs, key=lambda req: req.attempt)
 
 
 @contextlib.asynccontextmanager
-async def relayed(fake: FakeSidecar) -> AsyncIterator[Relay]:
-    """A relay before ``fake``, both started and closed again."""
+async def behind_relay(fake: FakeSidecar) -> AsyncIterator[Relay]:
+    """Run ``fake`` behind a relay."""
     await fake.start()
     relay = Relay(fake.port)
     await relay.start()
@@ -142,15 +146,15 @@
         await fake.close()
 
 
-def test_silent_connection_is_replaced_and_the_stream_goes_on() -> None:
+def test_silent_connection_is_replaced_and_the_stream_continues() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         fake.script = stall
-        async with relayed(fake) as relay, running() as entry:
-            introduce(entry, fake, port=relay.port)
+        async with behind_relay(fake) as relay, running() as entry:
+            announce(entry, fake, port=relay.port)
             async with openai_client(entry) as client:
                 reading = asyncio.create_task(read_stream(client))
-                await until(lambda: bool(fake.dispatched))
+                await wait_until(lambda: bool(fake.dispatched))
                 await asyncio.sleep(0.1)
                 relay.silence_open()
                 assert await reading == TEXT
@@ -163,10 +167,12 @@
 LOST = problem(UPSTREAM_FAILED, not_run=False)
 
 
-@pytest.mark.parametrize("first", [fail(LOST), break_off], ids=["failed", "broken"])
+@pytest.mark.parametrize(
+    "first", [fail(LOST), break_after_two_words], ids=["failed", "broken"]
+)
 def test_stream_is_resumed_on_another_upstream(first: Any) -> None:
     async def scenario() -> None:
-        fakes = pair(first, go_on)
+        fakes = pair(first, resume_answer)
         async with running(*fakes) as entry, openai_client(entry) as client:
             assert await read_stream(client) == TEXT
         resumed = dispatches(fakes)[1]
@@ -176,7 +182,7 @@
     run(scenario())
 
 
-def test_plain_answer_starts_anew_after_a_failure() -> None:
+def test_unstreamed_answer_starts_again_after_a_failure() -> None:
     async def scenario() -> None:
         fakes = pair(fail(LOST), answer_words)
         async with running(*fakes) as entry, openai_client(entry) as client:
@@ -187,7 +193,7 @@
     run(scenario())
 
 
-def test_full_queue_sends_the_request_elsewhere() -> None:
+def test_request_refused_by_a_full_queue_goes_to_another_upstream() -> None:
     async def scenario() -> None:
         fakes = pair(refuse, answer_words)
         async with running(*fakes) as entry, openai_client(entry) as client:
@@ -196,7 +202,7 @@
     run(scenario())
 
 
-def test_refusal_of_all_is_final_and_says_not_run() -> None:
+def test_refusal_by_all_upstreams_is_final_and_reported_as_not_run() -> None:
     async def scenario() -> None:
         fakes = pair(refuse, refuse)
         async with running(*fakes) as entry, openai_client(entry) as client:
@@ -210,7 +216,7 @@
     run(scenario())
 
 
-def test_leaving_upstream_is_not_even_asked() -> None:
+def test_leaving_upstream_gets_no_request() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         config = replace(make_config(), leaving=frozenset({"u1"}))
@@ -226,24 +232,24 @@
 
 
 async def call_tool(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """A tool call that breaks off: its text alone can't be continued."""
+    """Send part of a tool call, which can't be resumed from its text, then fail."""
     yield fake.accepted(req)
     event = chat_event("x").replace(b'"content"', b'"tool_calls"')
     yield fake.chunk(req, 0, event)
     yield Failed(req.request_id, req.attempt, req.incarnation, 1, LOST, Load())
 
 
-async def raw_stream(client: openai.AsyncOpenAI, **fields: Any) -> str:
-    """A stream's text as it came over the wire."""
+async def read_raw_stream(client: openai.AsyncOpenAI, **fields: Any) -> str:
+    """Request a stream and return its raw body."""
     url = f"{client.base_url}chat/completions"
     body = {"model": "lots", "messages": ASK, "stream": True, **fields}
     headers = {"Authorization": f"Bearer {KEY_A}"}
-    async with httpx2.AsyncClient() as plain:
-        return (await plain.post(url, json=body, headers=headers)).text
+    async with httpx2.AsyncClient() as http:
+        return (await http.post(url, json=body, headers=headers)).text
 
 
 async def fail_at_end(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """The whole text, then a failure instead of the end."""
+    """Send the whole text, then fail instead of ending the answer."""
     count = len(WORD_EVENTS)
     yield fake.accepted(req)
     for offset, event in enumerate(WORD_EVENTS):
@@ -252,7 +258,7 @@
 
 
 @pytest.mark.parametrize(
-    ("fields", "whole"),
+    ("fields", "is_complete"),
     [
         ({}, True),
         ({"stream_options": {"include_usage": True}}, False),
@@ -260,24 +266,24 @@
     ],
     ids=["text alone", "usage missing", "second choice missing"],
 )
-def test_text_that_is_complete_needs_no_more(
-    fields: dict[str, Any], whole: bool
+def test_complete_text_is_delivered_without_another_attempt(
+    fields: dict[str, Any], is_complete: bool
 ) -> None:
     async def scenario() -> None:
-        fakes = pair(fail_at_end, go_on)
+        fakes = pair(fail_at_end, resume_answer)
         async with running(*fakes) as entry, openai_client(entry) as client:
-            text = await raw_stream(client, **fields)
-        assert ("[DONE]" in text) == whole and ('"error"' in text) != whole
+            text = await read_raw_stream(client, **fields)
+        assert ("[DONE]" in text) == is_complete and ('"error"' in text) != is_complete
         assert len(dispatches(fakes)) == 1
 
     run(scenario())
 
 
-def test_stream_that_cannot_be_whole_ends_with_an_error_event() -> None:
+def test_stream_that_cannot_be_completed_ends_with_an_error_event() -> None:
     async def scenario() -> None:
-        fakes = pair(call_tool, go_on)
+        fakes = pair(call_tool, resume_answer)
         async with running(*fakes) as entry, openai_client(entry) as client:
-            text = await raw_stream(client)
+            text = await read_raw_stream(client)
         last = text.strip().split("\n\n")[-1]
         assert '"error"' in last and "upstream_failed" in last
         assert "[DONE]" not in text
@@ -294,16 +300,16 @@
     not_run: bool, status: int, code: str, attempts: int
 ) -> None:
     async def scenario() -> None:
-        fakes = pair(break_at_once, answer_plain, "bidding")
+        fakes = pair(break_before_accepting, answer_service, "bidding")
         for fake in fakes:
             fake.cancel_reply = CancelReply(not_run=not_run)
         async with running(*fakes) as entry:
             answer = await bid(entry)
         assert answer.status_code == status
-        made = dispatches(fakes)
-        assert [req.attempt for req in made] == list(range(1, attempts + 1))
-        assert all(req.path == "/lots/42?x=1" for req in made)
-        assert all("authorization" not in dict(req.headers) for req in made)
+        sent = dispatches(fakes)
+        assert [req.attempt for req in sent] == list(range(1, attempts + 1))
+        assert all(req.path == "/lots/42?x=1" for req in sent)
+        assert all("authorization" not in dict(req.headers) for req in sent)
         if code:
             error = answer.json()["error"]
             assert (error["code"], error["not_run"]) == (code, None)
@@ -314,9 +320,9 @@
     run(scenario())
 
 
-def test_accepted_bid_that_breaks_off_runs_nowhere_else() -> None:
+def test_accepted_bid_whose_call_breaks_is_not_sent_again() -> None:
     async def scenario() -> None:
-        fakes = pair(break_off, answer_plain, "bidding")
+        fakes = pair(break_after_two_words, answer_service, "bidding")
         async with running(*fakes) as entry:
             answer = await bid(entry)
         assert answer.json()["error"]["code"] == "outcome_unknown"
@@ -325,14 +331,14 @@
     run(scenario())
 
 
-def test_unreachable_sidecar_is_known_not_to_have_run_a_bid() -> None:
+def test_bid_to_an_unreachable_sidecar_is_sent_to_another() -> None:
     async def scenario() -> None:
-        gone, fake = FakeSidecar("u1", "bidding"), FakeSidecar("u2", "bidding")
-        fake.script = answer_plain
-        await gone.start()
+        unreachable, fake = FakeSidecar("u1", "bidding"), FakeSidecar("u2", "bidding")
+        fake.script = answer_service
+        await unreachable.start()
         async with running(fake) as entry:
-            introduce(entry, gone)
-            await gone.close()
+            announce(entry, unreachable)
+            await unreachable.close()
             answers = [await bid(entry) for _ in range(4)]
         assert [answer.status_code for answer in answers] == [201] * 4
         assert len(fake.dispatched) == 4
@@ -340,20 +346,20 @@
     run(scenario())
 
 
-def test_deadline_gives_the_final_answer_and_cancels() -> None:
+def test_passed_deadline_ends_the_request_and_cancels_the_attempt() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         fake.script = beat
         config = make_config()
-        hasty = replace(config.profiles["lots"], deadline_s=0.3)
-        config = replace(config, profiles={"lots": hasty})
+        short_profile = replace(config.profiles["lots"], deadline_s=0.3)
+        config = replace(config, profiles={"lots": short_profile})
         async with (
             running(fake, config=config) as entry,
             openai_client(entry) as client,
         ):
             with pytest.raises(openai.APIStatusError) as caught:
                 await read_stream(client)
-            await until(lambda: bool(fake.cancelled))
+            await wait_until(lambda: bool(fake.cancelled))
         error = caught.value.body
         assert isinstance(error, dict)
         assert (error["code"], error["not_run"]) == ("deadline_passed", None)
@@ -361,31 +367,34 @@
     run(scenario())
 
 
-def test_caller_that_goes_away_cancels_at_the_sidecar() -> None:
+def test_disconnected_caller_cancels_the_attempt_at_the_sidecar() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         fake.script = stall
         async with running(fake) as entry, openai_client(entry) as client:
             now = asyncio.get_running_loop().time()
-            # Seen by routing before it is renewed; renewals are not routed anew.
+            # Routing has read the record before its renewal, and a renewal is not given
+            # to routing; dispatch and cancellation must still carry its number.
             assert entry.directory.ready(fake.pool, now)
             entry.directory.offer(replace(fake.record(), seq=2), now)
             reading = asyncio.create_task(read_stream(client))
-            await until(lambda: bool(fake.dispatched))
+            await wait_until(lambda: bool(fake.dispatched))
             await asyncio.sleep(0.1)
             reading.cancel()
             with contextlib.suppress(asyncio.CancelledError):
                 await reading
-            await until(lambda: bool(fake.cancelled))
-        [given_up] = fake.cancelled
-        assert given_up.request_id == fake.dispatched[0].request_id
-        assert given_up.record_seq == fake.dispatched[0].record_seq == 2
+            await wait_until(lambda: bool(fake.cancelled))
+        [cancellation] = fake.cancelled
+        assert cancellation.request_id == fake.dispatched[0].request_id
+        assert cancellation.record_seq == fake.dispatched[0].record_seq == 2
 
     run(scenario())
 
 
-async def babble(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """Frames of other attempts, incarnations and requests, and each event twice."""
+async def send_mismatched_frames(
+    fake: FakeSidecar, req: DispatchReq
+) -> AsyncIterator[Any]:
+    """Send each event twice, and frames of other attempts, incarnations, requests."""
     wrong = chat_event("wrong")
     yield fake.accepted(replace(req, attempt=7), status=500)
     yield fake.accepted(req)
@@ -402,28 +411,28 @@
     yield fake.end(req, len(WORD_EVENTS))
 
 
-def test_late_and_crossed_frames_are_dropped() -> None:
+def test_duplicate_and_mismatched_frames_are_dropped() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
-        fake.script = babble
+        fake.script = send_mismatched_frames
         async with running(fake) as entry, openai_client(entry) as client:
             assert await read_stream(client) == TEXT
 
     run(scenario())
 
 
-async def skip_one(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """An answer that lacks an event."""
+async def skip_event(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
+    """Send an answer without one of its events."""
     yield fake.accepted(req)
     for offset in (0, 1, 3, 4):
         yield fake.chunk(req, offset, WORD_EVENTS[offset])
     yield fake.end(req, len(WORD_EVENTS))
 
 
-def test_missing_event_is_asked_for_again() -> None:
+def test_missing_event_is_read_again_by_attaching() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
-        fake.script = skip_one
+        fake.script = skip_event
         async with running(fake) as entry, openai_client(entry) as client:
             assert await read_stream(client) == TEXT
         assert [req.offset for req in fake.attached] == [2]
@@ -431,28 +440,32 @@
     run(scenario())
 
 
-@pytest.mark.parametrize(("theirs", "ours"), [(1, 5), (5, 1)], ids=["behind", "ahead"])
-def test_configurations_even_out_on_the_data_path(theirs: int, ours: int) -> None:
+@pytest.mark.parametrize(
+    ("sidecar_revision", "entry_revision"), [(1, 5), (5, 1)], ids=["behind", "ahead"]
+)
+def test_newer_configuration_spreads_between_entry_and_sidecar(
+    sidecar_revision: int, entry_revision: int
+) -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
-        fake.config = make_config(theirs)
-        async with running(fake, config=make_config(ours)) as entry:
+        fake.config = make_config(sidecar_revision)
+        async with running(fake, config=make_config(entry_revision)) as entry:
             async with openai_client(entry) as client:
                 assert await read_stream(client) == TEXT
-            await until(lambda: entry.store.revision == fake.config.revision == 5)
+            await wait_until(lambda: entry.store.revision == fake.config.revision == 5)
 
     run(scenario())
 
 
 async def break_once(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """The first call breaks before anything was accepted."""
+    """Break the first call before it is accepted; answer later ones."""
     if len(fake.dispatched) == 1:
         raise RuntimeError("scripted")
     async for frame in answer_words(fake, req):
         yield frame
 
 
-def test_only_upstream_is_tried_again_after_a_lost_connection() -> None:
+def test_only_upstream_is_retried_after_a_broken_connection() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         fake.script = break_once
@@ -463,7 +476,7 @@
     run(scenario())
 
 
-def test_lost_connections_of_many_requests_lose_none() -> None:
+def test_broken_connections_of_many_requests_lose_no_request() -> None:
     async def scenario() -> None:
         fakes = [FakeSidecar("u1"), FakeSidecar("u2")]
         broken = [fake.name for fake in fakes[:1]]
@@ -477,7 +490,7 @@
 
         for fake in fakes:
             fake.script = script
-        # The split must not hang on the policy's timing: half go to the broken one.
+        # Round-robin sends half to the broken sidecar, whatever the timing.
         entered = running(*fakes, policy="round-robin")
         async with entered as entry, openai_client(entry) as client:
             texts = await asyncio.gather(*[read_stream(client) for _ in range(40)])
@@ -487,8 +500,10 @@
     run(scenario())
 
 
-def test_a_stall_of_the_process_ends_no_attempt() -> None:
-    """After a second without a processor, what waits to be read is read first."""
+def test_a_stall_of_the_process_fails_no_attempt() -> None:
+    """After a second without processor time, the frames that have arrived must be read
+    before a connection counts as silent.
+    """
 
     async def scenario() -> None:
         fakes = [FakeSidecar("u1"), FakeSidecar("u2")]
--- a/tests/test_entry_quota.py
+++ b/tests/test_entry_quota.py
@@ -1,4 +1,4 @@
-"""Quotas on the path of the project's own callers: entries, declarations, commands."""
+"""Quotas at entries: enforcement, accounting, declaration and sharing."""
 
 from __future__ import annotations
 
@@ -34,15 +34,15 @@
 from tests.builders_gateway import free_port
 
 
-def limited(quota: Quota) -> Any:
-    """The declarations of the tests, with a quota for the first workspace."""
+def config_with_quota(quota: Quota) -> Any:
+    """The configuration of the tests, with a quota for the first workspace."""
     config = make_config()
     name = next(iter(config.workspaces))
-    held = {
+    workspaces = {
         **config.workspaces,
         name: replace(config.workspaces[name], quota=quota),
     }
-    return replace(config, workspaces=held)
+    return replace(config, workspaces=workspaces)
 
 
 async def refuse(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
@@ -55,15 +55,15 @@
     return fake
 
 
-def test_a_caller_over_its_quota_gets_429_and_no_upstream_hears_of_it() -> None:
+def test_a_caller_over_its_quota_gets_429_and_nothing_is_dispatched() -> None:
     async def main() -> None:
         fake = fake_sidecar(answer_words)
         quota = Quota(4.0, 1.0)
-        async with running(fake, config=limited(quota)) as entry:
+        async with running(fake, config=config_with_quota(quota)) as entry:
             await asyncio.sleep(0.3)
-            served, waits = 0, []
-            # Closed here: a client that is collected later closes itself in whatever
-            # loop runs then.
+            served, waits_s = 0, []
+            # Closed here: a client that is garbage-collected later closes itself in
+            # whichever event loop runs then.
             async with openai_client(entry) as client:
                 for _ in range(8):
                     try:
@@ -71,10 +71,10 @@
                         served += 1
                     except openai.RateLimitError as exc:
                         assert exc.code == "over_quota"
-                        waits.append(float(exc.response.headers["retry-after"]))
-            assert served and len(waits) == 8 - served
+                        waits_s.append(float(exc.response.headers["retry-after"]))
+            assert served and len(waits_s) == 8 - served
             assert len(fake.dispatched) == served
-            assert all(wait_s > 0 for wait_s in waits)
+            assert all(wait_s > 0 for wait_s in waits_s)
 
     run(main())
 
@@ -83,11 +83,11 @@
 
 
 @pytest.mark.parametrize("case", SENT)
-def test_each_attempt_that_may_have_run_counts(case: str) -> None:
+def test_only_an_attempt_that_may_have_run_counts(case: str) -> None:
     script, counted = SENT[case]
 
     async def main() -> None:
-        config = limited(Quota(1_000.0, 1_000.0))
+        config = config_with_quota(Quota(1_000.0, 1_000.0))
         workspace = next(iter(config.workspaces))
         async with running(fake_sidecar(script), config=config) as entry:
             async with openai_client(entry) as client:
@@ -101,9 +101,9 @@
     run(main())
 
 
-def test_tokens_of_a_prompt_and_of_its_answer_count() -> None:
+def test_a_token_quota_counts_prompt_and_answer() -> None:
     async def main() -> None:
-        config = limited(Quota(1e6, 1e6, QuotaUnit.TOKENS))
+        config = config_with_quota(Quota(1e6, 1e6, QuotaUnit.TOKENS))
         workspace = next(iter(config.workspaces))
         async with running(fake_sidecar(answer_words), config=config) as entry:
             async with openai_client(entry) as client:
@@ -124,11 +124,11 @@
 
 
 @pytest.mark.parametrize("case", QUOTA_TABLES)
-def test_a_file_declares_quotas(case: str) -> None:
+def test_quotas_are_read_from_a_declaration_file(case: str) -> None:
     table, quota = QUOTA_TABLES[case]
-    found = declaration_file.read({"workspaces": {"a": {"quota": table}}})
-    assert isinstance(found, Ok)
-    assert found.ok_value.workspaces["a"].quota == quota
+    result = declaration_file.read({"workspaces": {"a": {"quota": table}}})
+    assert isinstance(result, Ok)
+    assert result.ok_value.workspaces["a"].quota == quota
 
 
 FAULTS = {
@@ -142,24 +142,24 @@
 
 
 @pytest.mark.parametrize("case", FAULTS)
-def test_a_faulty_quota_is_refused_with_its_field(case: str) -> None:
+def test_an_invalid_quota_is_refused_with_the_name_of_its_field(case: str) -> None:
     table, key = FAULTS[case]
-    found = declaration_file.read({"workspaces": {"a": {"quota": table}}})
-    assert isinstance(found, Err)
-    assert [fault.key for fault in found.err_value] == [key]
-    assert all(fault.remedy for fault in found.err_value)
+    result = declaration_file.read({"workspaces": {"a": {"quota": table}}})
+    assert isinstance(result, Err)
+    assert [fault.key for fault in result.err_value] == [key]
+    assert all(fault.remedy for fault in result.err_value)
 
 
-def test_entries_share_quotas_by_the_addresses_that_are_listed() -> None:
+def test_only_entries_that_are_listed_by_address_share_quotas() -> None:
     listed = FleetCfg(entries=("a:1", "b:1"))
-    found = entry_fleet(EntryCfg(rpc="b:1"), listed, NodeCfg("n"))
-    assert (found.own.name, [one.name for one in found.others]) == ("b:1", ["a:1"])
-    found = entry_fleet(EntryCfg(rpc="c:1"), listed, NodeCfg("n"))
-    assert (found.own.address, len(found.others)) == ("", 2)
+    fleet = entry_fleet(EntryCfg(rpc="b:1"), listed, NodeCfg("n"))
+    assert (fleet.own.name, [peer.name for peer in fleet.others]) == ("b:1", ["a:1"])
+    fleet = entry_fleet(EntryCfg(rpc="c:1"), listed, NodeCfg("n"))
+    assert (fleet.own.address, len(fleet.others)) == ("", 2)
     assert entry_fleet(EntryCfg(rpc="c:1"), FleetCfg(), NodeCfg("n")).own.name == "c:1"
 
 
-def test_two_entries_hold_one_quota_between_them() -> None:
+def test_two_entries_together_stay_within_one_quota() -> None:
     async def main() -> None:
         ports = [free_port(), free_port()]
         listed = tuple(f"127.0.0.1:{port}" for port in ports)
@@ -186,15 +186,15 @@
             await client.start()
             clients.append(client)
             closing += [client.close, link.close, server.close]
-        began = asyncio.get_running_loop().time()
+        started_at = asyncio.get_running_loop().time()
         await asyncio.sleep(1.0)
         refused = [
             await clients[i % 2].admit(Want("a", quota, 1)) is not None
             for i in range(80)
         ]
-        lasted_s = asyncio.get_running_loop().time() - began
+        elapsed_s = asyncio.get_running_loop().time() - started_at
         granted = refused.count(False)
-        assert 5 <= granted <= quota.per_s * lasted_s + quota.burst
+        assert 5 <= granted <= quota.per_s * elapsed_s + quota.burst
         assert granted < 40
         for close in closing:
             await close()
--- a/tests/test_entry_refusals.py
+++ b/tests/test_entry_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: each is typed JSON, sent at once, and runs nothing."""
+"""Refusals: each is sent immediately as JSON with an error code, and runs nothing."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 CHAT = "/v1/chat/completions"
 LIMIT = 10_000
-GOOD = {"model": "lots", "messages": [{"role": "user", "content": "?"}]}
+VALID = {"model": "lots", "messages": [{"role": "user", "content": "?"}]}
 
 
 @dataclass(frozen=True)
 class Case:
-    """One bad request and the refusal that it gets."""
+    """A bad request and the refusal that it gets."""
 
     name: str
     status: int
     code: str
     method: str = "POST"
     path: str = CHAT
-    body: bytes = json.dumps(GOOD).encode()
+    body: bytes = json.dumps(VALID).encode()
     key: str = KEY_A
     headers: dict[str, str] = field(default_factory=dict)
-    comes_back: bool = False
+    is_retryable: bool = False
 
 
 def body(**changes: Any) -> bytes:
-    return json.dumps({**GOOD, **changes}).encode()
+    return json.dumps({**VALID, **changes}).encode()
 
 
 CASES = [
@@ -51,16 +51,22 @@
     Case("no messages", 400, "invalid_field", body=body(messages=[])),
     Case("role missing", 400, "invalid_field", body=body(messages=[{}])),
     Case("unknown profile", 404, "unknown_profile", body=body(model="nil")),
-    Case("kind", 400, "wrong_profile_kind", body=body(model="bids")),
-    Case("kind, as service", 400, "wrong_profile_kind", path="/services/lots/x"),
-    Case("closed", 404, "unknown_profile", path="/services/bids/x", key=KEY_B),
+    Case("service as a model", 400, "wrong_profile_kind", body=body(model="bids")),
+    Case("model as a service", 400, "wrong_profile_kind", path="/services/lots/x"),
+    Case(
+        "profile closed to the workspace",
+        404,
+        "unknown_profile",
+        path="/services/bids/x",
+        key=KEY_B,
+    ),
     Case("too large", 413, "body_too_large", body=b"x" * (LIMIT + 1)),
-    Case("no upstream", 503, "no_upstream", comes_back=True),
-    Case("no path", 404, "no_route", path="/v2/chat"),
+    Case("no upstream", 503, "no_upstream", is_retryable=True),
+    Case("unknown path", 404, "no_route", path="/v2/chat"),
     Case("wrong method", 405, "wrong_method", method="GET", body=b""),
     Case("event id", 400, "invalid_field", headers={"Last-Event-ID": "7"}),
     Case(
-        "stream of nobody",
+        "unknown stream",
         404,
         "unknown_stream",
         headers={"Last-Event-ID": "u9/inc/request/3"},
@@ -69,7 +75,7 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case.name)
-def test_bad_request_is_refused_in_typed_json(case: Case) -> None:
+def test_bad_request_is_refused_with_its_error_code(case: Case) -> None:
     async def scenario() -> httpx2.Response:
         async with running(max_body_bytes=LIMIT) as entry:
             headers = dict(case.headers)
@@ -88,11 +94,11 @@
     assert (answer.status_code, error["code"]) == (case.status, case.code)
     assert error["request_id"] == answer.headers["x-request-id"]
     assert set(error) == {"message", "type", "code", "not_run", "request_id"}
-    assert ("retry-after" in answer.headers) == case.comes_back
+    assert ("retry-after" in answer.headers) == case.is_retryable
 
 
 async def raw_request(address: str, *parts: bytes, half_close: bool = False) -> bytes:
-    """Send ``parts`` of a request and read all that comes back."""
+    """Send ``parts`` of a request and read the response until the connection closes."""
     host, _, port = address.partition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     for part in parts:
@@ -111,7 +117,7 @@
 )
 
 
-def test_slow_body_is_refused_after_its_time() -> None:
+def test_slow_body_is_refused_after_the_body_timeout() -> None:
     async def scenario() -> None:
         async with running() as entry:
             head = HEAD.format(length=100).encode()
@@ -131,7 +137,7 @@
     run(scenario())
 
 
-def test_caller_that_closes_half_way_starts_nothing() -> None:
+def test_caller_that_disconnects_before_the_end_of_its_body_starts_nothing() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         async with running(fake) as entry:
@@ -145,13 +151,13 @@
     run(scenario())
 
 
-def test_entry_without_configuration_refuses_soon_and_names_why() -> None:
+def test_entry_without_configuration_refuses_with_the_reason() -> None:
     async def scenario() -> None:
         async with running(config=Config()) as entry:
             base = f"http://{entry.addresses['http']}"
             headers = {"Authorization": f"Bearer {KEY_A}"}
             async with httpx2.AsyncClient(base_url=base, headers=headers) as client:
-                answer = await client.post(CHAT, json=GOOD)
+                answer = await client.post(CHAT, json=VALID)
                 ready = await client.get("/readyz")
         assert answer.json()["error"]["code"] == "not_ready"
         assert int(answer.headers["retry-after"]) >= 1
@@ -161,10 +167,10 @@
     run(scenario())
 
 
-def test_fault_of_the_router_gives_no_details(monkeypatch: Any) -> None:
+def test_unhandled_exception_is_answered_without_details(monkeypatch: Any) -> None:
     async def scenario() -> httpx2.Response:
         async with running() as entry:
-            monkeypatch.setattr(entry, "_why_unready", lambda: 1 / 0)
+            monkeypatch.setattr(entry, "_unready_reason", lambda: 1 / 0)
             async with httpx2.AsyncClient() as client:
                 return await client.get(f"http://{entry.addresses['http']}/readyz")
 
@@ -186,7 +192,9 @@
 
 
 @pytest.mark.parametrize("case", HEAD_CASES, ids=lambda case: case[0])
-def test_head_of_a_request_is_bounded(case: Any, monkeypatch: Any) -> None:
+def test_head_of_a_request_has_limits_on_size_and_time(
+    case: Any, monkeypatch: Any
+) -> None:
     async def scenario() -> None:
         protocol = http_protocol.BoundedHttpProtocol
         monkeypatch.setattr(protocol, "head_timeout_s", 0.3)
--- a/tests/test_entry_shutdown.py
+++ b/tests/test_entry_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, and streams that go on at another entry."""
+"""Graceful shutdown of an entry, and streams that continue at another entry."""
 
 from __future__ import annotations
 
@@ -20,12 +20,12 @@
     WORD_EVENTS,
     WORDS,
     FakeSidecar,
+    announce,
     beat,
-    introduce,
     make_config,
     run,
     running,
-    until,
+    wait_until,
 )
 
 CHAT = {"model": "lots", "messages": [{"role": "user", "content": "?"}]}
@@ -40,7 +40,7 @@
     )
 
 
-async def stream(entry: Entry, headers: dict[str, str] | None = None) -> str:
+async def read_raw_stream(entry: Entry, headers: dict[str, str] | None = None) -> str:
     async with client_of(entry) as client:
         body = {**CHAT, "stream": True}
         answer = await client.post("/v1/chat/completions", json=body, headers=headers)
@@ -48,13 +48,13 @@
 
 
 def events_of(text: str) -> list[dict[str, Any]]:
-    """Data of all events but the end marker."""
+    """The decoded data of all events but the end marker."""
     lines = [line for line in text.splitlines() if line.startswith("data: ")]
     return [json.loads(line[6:]) for line in lines if line != DONE]
 
 
 def text_of(text: str) -> str:
-    """The answer's text in a stream."""
+    """The text of the answer in a raw stream."""
     choices = [event["choices"][0] for event in events_of(text) if "choices" in event]
     return "".join(choice["delta"].get("content") or "" for choice in choices)
 
@@ -63,8 +63,10 @@
     return [line[4:] for line in text.splitlines() if line.startswith("id: ")][-1]
 
 
-async def pause(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
-    """Two words, a pause until ``release``, and the rest."""
+async def pause_after_two_words(
+    fake: FakeSidecar, req: DispatchReq
+) -> AsyncIterator[Any]:
+    """Send two words, wait for ``release``, then send the rest."""
     yield fake.accepted(req)
     for offset, event in enumerate(WORD_EVENTS):
         if offset == 2:
@@ -74,15 +76,15 @@
     yield fake.end(req, len(WORD_EVENTS))
 
 
-def test_shutdown_lets_a_running_stream_finish() -> None:
+def test_running_stream_finishes_during_shutdown() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
-        fake.script = pause
+        fake.script = pause_after_two_words
         async with running(fake, drain_s=5) as entry:
-            reading = asyncio.create_task(stream(entry))
-            await until(lambda: bool(fake.dispatched))
+            reading = asyncio.create_task(read_raw_stream(entry))
+            await wait_until(lambda: bool(fake.dispatched))
             closing = asyncio.create_task(entry.close())
-            await until(lambda: not listens(entry))
+            await wait_until(lambda: not is_listening(entry))
             fake.release.set()
             text = await reading
             await closing
@@ -92,22 +94,22 @@
     run(scenario())
 
 
-def listens(entry: Entry) -> bool:
+def is_listening(entry: Entry) -> bool:
     server = entry._http._server  # type: ignore[union-attr]
     return server is not None and any(s.is_serving() for s in server.servers)
 
 
-def test_shutdown_fails_readiness_first_and_then_refuses() -> None:
+def test_shutdown_fails_the_readiness_check_before_it_refuses() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         async with running(fake, drain_s=5) as entry, client_of(entry) as client:
-            # Each look opens no connection: the client keeps this one until told.
+            # Later requests reuse this connection until a response asks to close it.
             assert (await client.get("/readyz")).json() == {"ready": True}
             closing = asyncio.create_task(entry.close())
             await asyncio.sleep(0)
             ready = await client.get("/readyz")
             served = await client.post("/v1/chat/completions", json=CHAT)
-            await until(lambda: entry.phase.value == "refusing")
+            await wait_until(lambda: entry.phase.value == "refusing")
             refused = await client.post("/v1/chat/completions", json=CHAT)
             await closing
         assert ready.json() == {"ready": False, "reason": "shutting down"}
@@ -121,18 +123,18 @@
     run(scenario())
 
 
-def test_stream_over_the_bound_goes_on_at_another_entry() -> None:
+def test_stream_that_outlasts_the_drain_time_continues_at_another_entry() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
-        fake.script = pause
+        fake.script = pause_after_two_words
         async with running(fake, drain_s=0.5) as entry, running() as other:
-            introduce(other, fake)
-            reading = asyncio.create_task(stream(entry))
-            await until(lambda: bool(fake.dispatched))
+            announce(other, fake)
+            reading = asyncio.create_task(read_raw_stream(entry))
+            await wait_until(lambda: bool(fake.dispatched))
             await asyncio.sleep(0.1)
             await entry.close()
             first = await reading
-            rest = await stream(other, {"Last-Event-ID": last_id(first)})
+            rest = await read_raw_stream(other, {"Last-Event-ID": last_id(first)})
         assert events_of(first)[-1]["error"]["code"] == "stream_handed_over"
         assert DONE not in first and DONE in rest
         assert text_of(first) + text_of(rest) == TEXT
@@ -148,19 +150,19 @@
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         async with running(fake) as entry:
-            first = await stream(entry)
-            # Started alone: configuration and upstream come a moment later.
+            first = await read_raw_stream(entry)
+            # The restarted entry gets its configuration and upstream a moment later.
             async with running(config=Config()) as restarted:
                 asyncio.get_running_loop().call_later(
                     0.1, lambda: restarted.store.offer(make_config())
                 )
                 asyncio.get_running_loop().call_later(
-                    0.2, lambda: introduce(restarted, fake)
+                    0.2, lambda: announce(restarted, fake)
                 )
-                seen = last_id(first[: first.index(WORDS[1])] + "\n")
+                seen_id = last_id(first[: first.index(WORDS[1])] + "\n")
                 async with client_of(restarted, key) as client:
                     answer = await client.get(
-                        "/v1/streams", headers={"Last-Event-ID": seen}
+                        "/v1/streams", headers={"Last-Event-ID": seen_id}
                     )
         if key == KEY_A:
             assert text_of(answer.text) == "".join(WORDS[2:]) and DONE in answer.text
@@ -171,14 +173,14 @@
     run(scenario())
 
 
-def test_plain_request_over_the_bound_gets_its_final_answer() -> None:
+def test_unstreamed_request_that_outlasts_the_drain_time_gets_an_error() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         fake.script = beat
         async with running(fake, drain_s=0.5) as entry, client_of(entry) as client:
             asking = client.post("/v1/chat/completions", json=CHAT)
             reading = asyncio.create_task(asking)
-            await until(lambda: bool(fake.dispatched))
+            await wait_until(lambda: bool(fake.dispatched))
             await entry.close()
             error = (await reading).json()["error"]
         assert (error["code"], error["not_run"]) == ("shutting_down", None)
@@ -187,14 +189,14 @@
     run(scenario())
 
 
-def test_first_request_to_a_restarted_entry_waits_for_its_records() -> None:
+def test_first_request_to_a_restarted_entry_waits_for_upstream_records() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
         async with running(fake) as _, running(config=Config()) as restarted:
             loop = asyncio.get_running_loop()
             loop.call_later(0.1, lambda: restarted.store.offer(make_config()))
-            loop.call_later(0.3, lambda: introduce(restarted, fake))
-            text = await stream(restarted)
+            loop.call_later(0.3, lambda: announce(restarted, fake))
+            text = await read_raw_stream(restarted)
         assert text_of(text) == TEXT
 
     run(scenario())
--- a/tests/test_entry_sidecar.py
+++ b/tests/test_entry_sidecar.py
@@ -30,15 +30,17 @@
     read_stream,
     run,
     running,
-    until,
+    wait_until,
 )
 
-SERVICE_S = 0.8
+SERVICE_TIME_S = 0.8
 
 
 @contextlib.asynccontextmanager
-async def beside(entry: Entry, name: str, app: Any, pool: str) -> AsyncIterator[Any]:
-    """A sidecar beside ``app`` that announces itself to ``entry``."""
+async def announced_upstream(
+    entry: Entry, name: str, app: Any, pool: str
+) -> AsyncIterator[Any]:
+    """Run ``app`` with a sidecar that announces it to ``entry``; yield its server."""
     upstream = AppServer(app)
     await upstream.start()
     kind = "completion" if pool == "summary" else "service"
@@ -59,34 +61,36 @@
         await upstream.close()
 
 
-def knows(entry: Entry, count: int) -> bool:
+def has_ready_upstreams(entry: Entry, count: int) -> bool:
     now = asyncio.get_running_loop().time()
     return len([r for r in entry.directory.records(now) if r.ready]) == count
 
 
-def test_answers_pass_from_an_engine_to_the_caller() -> None:
+def test_answers_of_an_engine_reach_the_caller() -> None:
     async def scenario() -> None:
         app = engine_app(HostCfg(model="m1"))
-        async with running() as entry, beside(entry, "u1", app, "summary"):
-            await until(lambda: knows(entry, 1))
+        async with running() as entry, announced_upstream(entry, "u1", app, "summary"):
+            await wait_until(lambda: has_ready_upstreams(entry, 1))
             async with openai_client(entry) as client:
                 texts = [await read_stream(client, max_tokens=20) for _ in range(2)]
-                plain = await ask(client, max_tokens=20)
-        assert texts[0] and texts[0] == texts[1] == plain.choices[0].message.content
-        assert plain.model == "lots"
+                unstreamed = await ask(client, max_tokens=20)
+        assert (
+            texts[0] and texts[0] == texts[1] == unstreamed.choices[0].message.content
+        )
+        assert unstreamed.model == "lots"
 
     run(scenario())
 
 
-def test_bid_and_its_resends_run_once_at_the_service() -> None:
+def test_bid_that_is_sent_repeatedly_runs_once_at_the_service() -> None:
     async def scenario() -> None:
         control = FakeControl(ClaimTable())
         await control.start()
         async with running(controls=(control.address,)) as entry:
-            app = service_app(SERVICE_S)
-            async with beside(entry, "s1", app, "bidding") as upstream:
-                await until(lambda: knows(entry, 1))
-                answers = await resend(entry, 4)
+            app = service_app(SERVICE_TIME_S)
+            async with announced_upstream(entry, "s1", app, "bidding") as upstream:
+                await wait_until(lambda: has_ready_upstreams(entry, 1))
+                answers = await send_repeatedly(entry, 4)
                 async with httpx2.AsyncClient() as client:
                     record = (await client.get(f"{upstream.url}/record")).json()
         await control.close()
@@ -97,8 +101,8 @@
     run(scenario())
 
 
-async def resend(entry: Entry, count: int) -> list[httpx2.Response]:
-    """Send one bid ``count`` times while it runs, and once when it is over."""
+async def send_repeatedly(entry: Entry, count: int) -> list[httpx2.Response]:
+    """Send one bid ``count`` times at once, and once more when it has finished."""
     headers = {"Authorization": f"Bearer {KEY_A}", "Idempotency-Key": "bid-1"}
     base = f"http://{entry.addresses['http']}"
     async with httpx2.AsyncClient(base_url=base, headers=headers, timeout=20) as client:
@@ -111,8 +115,8 @@
 def test_leaving_upstream_gets_no_new_work() -> None:
     async def scenario() -> None:
         app = engine_app(HostCfg(model="m1"))
-        async with running() as entry, beside(entry, "u1", app, "summary"):
-            await until(lambda: knows(entry, 1))
+        async with running() as entry, announced_upstream(entry, "u1", app, "summary"):
+            await wait_until(lambda: has_ready_upstreams(entry, 1))
             leaving = replace(make_config(2), leaving=frozenset({"u1"}))
             entry.store.offer(leaving)
             async with openai_client(entry) as client:
--- a/tests/test_sidecar_engine.py
+++ b/tests/test_sidecar_engine.py
@@ -1,4 +1,4 @@
-"""The sidecar before example engines: cache, KV store and orders."""
+"""The sidecar in front of example engines: cache, KV store and orders."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from gooseberrydale.example.engine_host import HostCfg
 from gooseberrydale.example.kv_store_app import kv_store_app
 from gooseberrydale.request.prompt import prompt_pieces
-from tests.sidecar_bench import Bench, bench, frames_of, run
+from tests.sidecar_bench import SidecarHarness, read_frames, run, running_sidecar
 
 GUIDE = "guide " * 4_000
 FAST = EngineCfg(prefill_tps=8_000.0, decode_s=0.001)
@@ -28,7 +28,7 @@
 
 @asynccontextmanager
 async def served(app: Any) -> AsyncIterator[str]:
-    """The base URL of a running app."""
+    """Serve an app; yield its base URL."""
     server = AppServer(app)
     await server.start()
     try:
@@ -38,7 +38,7 @@
 
 
 def question(number: int, workspace: str = "workspace-a") -> dict[str, Any]:
-    """A dispatch of the guide and one question."""
+    """Fields of a dispatch whose prompt is the guide and one question."""
     messages = [
         {"role": "system", "content": GUIDE},
         {"role": "user", "content": f"question {number}"},
@@ -52,23 +52,25 @@
     }
 
 
-async def ask(made: Bench, number: int, workspace: str = "workspace-a") -> int:
-    """Ask a question; return how many tokens the sidecar knew as cached."""
-    frames = await frames_of(made.dispatch(**question(number, workspace)))
+async def ask(
+    harness: SidecarHarness, number: int, workspace: str = "workspace-a"
+) -> int:
+    """Ask a question; return how many prompt tokens the sidecar counted as cached."""
+    frames = await read_frames(harness.dispatch(**question(number, workspace)))
     assert isinstance(frames[0], Accepted), frames[0]
     assert isinstance(frames[-1], End), frames[-1]
     return frames[0].cached_tokens
 
 
 async def record_of(url: str) -> Any:
-    """The engine's own record."""
+    """The record that the app at ``url`` keeps of its requests or pieces."""
     reply = await upstream_api.call(url, "GET", "/record")
     return msgspec.json.decode(reply.body)
 
 
-async def until_cached(made: Bench) -> None:
-    """Wait until the sidecar has seen anything cached."""
-    while made.sidecar.dispatcher.load().cached_blocks == 0:
+async def wait_until_cached(harness: SidecarHarness) -> None:
+    """Wait until the sidecar has received a cache event."""
+    while harness.sidecar.dispatcher.load().cached_blocks == 0:
         await asyncio.sleep(0.01)
 
 
@@ -79,16 +81,19 @@
 
 
 @pytest.mark.parametrize("feed", FEEDS)
-def test_a_long_prefix_is_known_as_cached_for_its_workspace_alone(
+def test_a_long_prefix_counts_as_cached_only_for_its_workspace(
     tmp_path: pathlib.Path, feed: str
 ) -> None:
     async def main() -> None:
         cfg = HostCfg(engine=FAST, feed=FEEDS[feed])
-        async with served(engine_app(cfg)) as url, bench(tmp_path, url) as made:
-            assert await ask(made, 1) == 0
-            await until_cached(made)
-            assert await ask(made, 2) > 5_000
-            assert await ask(made, 3, "workspace-b") == 0
+        async with (
+            served(engine_app(cfg)) as url,
+            running_sidecar(tmp_path, url) as harness,
+        ):
+            assert await ask(harness, 1) == 0
+            await wait_until_cached(harness)
+            assert await ask(harness, 2) > 5_000
+            assert await ask(harness, 3, "workspace-b") == 0
             runs = (await record_of(url))["requests"]
             assert [run["cached_tokens"] > 5_000 for run in runs] == [
                 False,
@@ -99,24 +104,27 @@
     run(main())
 
 
-def test_new_weights_make_everything_absent(tmp_path: pathlib.Path) -> None:
+def test_new_weights_invalidate_the_cache(tmp_path: pathlib.Path) -> None:
     order = {"number": 1, "kind": "load_weights", "model": "example", "version": "2"}
 
     async def main() -> None:
         cfg = HostCfg(engine=FAST, load_s=0.01)
-        async with served(engine_app(cfg)) as url, bench(tmp_path, url) as made:
-            await ask(made, 1)
-            await until_cached(made)
+        async with (
+            served(engine_app(cfg)) as url,
+            running_sidecar(tmp_path, url) as harness,
+        ):
+            await ask(harness, 1)
+            await wait_until_cached(harness)
             await upstream_api.call(url, "POST", "/orders", order)
-            while made.sidecar.upstream_state.weights_version != "2":
+            while harness.sidecar.upstream_state.weights_version != "2":
                 await asyncio.sleep(0.01)
-            assert await ask(made, 2) == 0
+            assert await ask(harness, 2) == 0
             assert (await record_of(url))["requests"][1]["cached_tokens"] == 0
 
     run(main())
 
 
-def test_a_used_prefix_reaches_another_engine_through_the_store(
+def test_a_repeated_prefix_is_imported_by_another_engine_from_the_kv_store(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -125,8 +133,8 @@
             async with (
                 served(engine_app(cfg)) as first_url,
                 served(engine_app(cfg)) as second_url,
-                bench(tmp_path, first_url, kv_store=store) as first,
-                bench(tmp_path, second_url, kv_store=store) as second,
+                running_sidecar(tmp_path, first_url, kv_store=store) as first,
+                running_sidecar(tmp_path, second_url, kv_store=store) as second,
             ):
                 for number in (1, 2, 3):
                     await ask(first, number)
@@ -134,8 +142,8 @@
                     await asyncio.sleep(0.01)
                 await asyncio.sleep(0.1)
                 assert await ask(second, 4) > 2_000
-                run_there = (await record_of(second_url))["requests"][0]
-                assert run_there["cached_tokens"] > 2_000
+                second_run = (await record_of(second_url))["requests"][0]
+                assert second_run["cached_tokens"] > 2_000
                 assert await ask(second, 5, "workspace-b") == 0
 
     run(main())
--- a/tests/test_upstream_runs.py
+++ b/tests/test_upstream_runs.py
@@ -1,4 +1,4 @@
-"""Which incarnation of its upstream a sidecar blames a request for."""
+"""Which ended incarnations of an upstream a sidecar attributes to a request."""
 
 from __future__ import annotations
 
@@ -7,98 +7,133 @@
 
 import pytest
 
-from gooseberrydale.process.sidecar.upstream_runs import Running, UpstreamRuns
+from gooseberrydale.process.sidecar.upstream_runs import RunningAttempt, UpstreamRuns
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 from gooseberrydale.version.open_runs import RunEnd
 from tests.builders_sidecar import dispatch_req
 
-Step = Callable[[UpstreamRuns, list[Running]], None]
+Step = Callable[[UpstreamRuns, list[RunningAttempt]], None]
 
 
-def _runs_told_to(table: EndedIncarnations, *, leaving: bool = False) -> UpstreamRuns:
+def _runs_reported_to(
+    table: EndedIncarnations, *, leaving: bool = False
+) -> UpstreamRuns:
     return UpstreamRuns("upstream-1", "incarnation-1", table, lambda: leaving)
 
 
-def begin(runs: UpstreamRuns, open_: list[Running]) -> None:
-    open_.append(runs.began(dispatch_req("i1")))
+def start(runs: UpstreamRuns, open_runs: list[RunningAttempt]) -> None:
+    open_runs.append(runs.record_start(dispatch_req("i1")))
 
 
 def end(how: RunEnd) -> Step:
-    def step(runs: UpstreamRuns, open_: list[Running]) -> None:
-        runs.ended(open_.pop(), how)
+    def step(runs: UpstreamRuns, open_runs: list[RunningAttempt]) -> None:
+        runs.record_end(open_runs.pop(), how)
 
     return step
 
 
-def gone(runs: UpstreamRuns, open_: list[Running]) -> None:
+def unreachable(runs: UpstreamRuns, open_runs: list[RunningAttempt]) -> None:
     runs.upstream_gone("refused")
 
 
-def there(incarnation: str) -> Step:
+def polled(incarnation: str) -> Step:
     return lambda runs, _: runs.upstream_there(incarnation)
 
 
-BREAK, WELL, LEAVE = end(RunEnd.BROKE), end(RunEnd.ANSWERED), end(RunEnd.LEFT)
+BREAK, ANSWER, LEAVE = end(RunEnd.BROKE), end(RunEnd.ANSWERED), end(RunEnd.LEFT)
 CASES: dict[str, tuple[list[Step], int]] = {
-    # what happens, and how many incarnations the request is to blame for
-    "it runs when its upstream is gone": ([there("a"), begin, gone], 1),
-    "it broke just before": ([there("a"), begin, BREAK, gone], 1),
-    "it breaks just after": ([there("a"), begin, gone, BREAK], 1),
-    "its caller left just before": ([there("a"), begin, LEAVE, gone], 1),
-    "it was answered before": ([there("a"), begin, WELL, gone], 0),
-    "gone for several looks": ([there("a"), begin, gone, gone, gone], 1),
-    "another incarnation is there at the next look": (
-        [there("a"), begin, BREAK, there("b")],
+    # the events, and the number of ended incarnations attributed to the request
+    "running when the upstream becomes unreachable": (
+        [polled("a"), start, unreachable],
         1,
     ),
-    "the same incarnation is there at the next look": (
-        [there("a"), begin, BREAK, there("a")],
+    "connection breaks just before": ([polled("a"), start, BREAK, unreachable], 1),
+    "connection breaks just after": ([polled("a"), start, unreachable, BREAK], 1),
+    "caller disconnects just before": ([polled("a"), start, LEAVE, unreachable], 1),
+    "answered before": ([polled("a"), start, ANSWER, unreachable], 0),
+    "unreachable in several polls": (
+        [polled("a"), start, unreachable, unreachable, unreachable],
+        1,
+    ),
+    "another incarnation answers the next poll": (
+        [polled("a"), start, BREAK, polled("b")],
+        1,
+    ),
+    "the same incarnation answers the next poll": (
+        [polled("a"), start, BREAK, polled("a")],
         0,
     ),
     "two incarnations": (
-        [there("a"), begin, gone, BREAK, there("b"), begin, gone, BREAK],
+        [
+            polled("a"),
+            start,
+            unreachable,
+            BREAK,
+            polled("b"),
+            start,
+            unreachable,
+            BREAK,
+        ],
         2,
     ),
-    "two incarnations that don't tell": (
-        [there(""), begin, gone, BREAK, there(""), begin, gone, BREAK],
+    "two incarnations without names": (
+        [
+            polled(""),
+            start,
+            unreachable,
+            BREAK,
+            polled(""),
+            start,
+            unreachable,
+            BREAK,
+        ],
         2,
     ),
-    "out of reach for a while, then well": (
-        [there("a"), begin, gone, there("a"), WELL, begin, there("a"), gone],
+    "unreachable for a while, then answered": (
+        [
+            polled("a"),
+            start,
+            unreachable,
+            polled("a"),
+            ANSWER,
+            start,
+            polled("a"),
+            unreachable,
+        ],
         1,
     ),
-    "it breaks once another incarnation is there": (
-        [there("a"), begin, gone, there("b"), BREAK],
+    "connection breaks once another incarnation has answered": (
+        [polled("a"), start, unreachable, polled("b"), BREAK],
         1,
     ),
-    "the first look after the start": ([there(""), there("a"), begin, WELL], 0),
+    "first poll after the start": ([polled(""), polled("a"), start, ANSWER], 0),
 }
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_the_incarnations_that_a_request_ended(case: str) -> None:
-    steps, blamed = CASES[case]
+def test_ended_incarnations_attributed_to_a_request(case: str) -> None:
+    steps, expected = CASES[case]
 
     async def main() -> None:
         table = EndedIncarnations()
-        runs, open_ = _runs_told_to(table), []
+        runs, open_runs = _runs_reported_to(table), []
         for step in steps:
-            step(runs, open_)
-        found = {
+            step(runs, open_runs)
+        names = {
             name
-            for one in table.since(0, 0.0).incarnations
-            for name in [one.incarnation]
+            for ended in table.since(0, 0.0).incarnations
+            for name in [ended.incarnation]
         }
-        assert len(found) == blamed
+        assert len(names) == expected
 
     asyncio.run(main())
 
 
-def test_an_upstream_that_leaves_ends_by_itself() -> None:
+def test_the_end_of_a_leaving_upstream_is_not_reported() -> None:
     async def main() -> None:
         table = EndedIncarnations()
-        runs = _runs_told_to(table, leaving=True)
-        runs.began(dispatch_req("i1"))
+        runs = _runs_reported_to(table, leaving=True)
+        runs.record_start(dispatch_req("i1"))
         runs.upstream_gone("refused")
         assert len(table) == 0
 
