--- a/gooseberrydale/process/entry/quota_link.py
+++ b/gooseberrydale/process/entry/quota_link.py
@@ -1,7 +1,7 @@
 """Carries quota messages between entries, as calls to their gRPC listeners.
 
-As with datagrams, a message may be lost, delayed or reordered; the protocol above sends
-again whatever must arrive.
+As with datagrams, a message may be lost, delayed or reordered; senders repeat those
+that must arrive.
 """
 
 from __future__ import annotations
--- a/gooseberrydale/process/sidecar/calls.py
+++ b/gooseberrydale/process/sidecar/calls.py
@@ -1,6 +1,6 @@
 """Builds the call to the upstream for a dispatched attempt.
 
-It does no I/O; of the upstream it only reads the state that was observed last.
+It does no I/O; it only reads the state of the upstream that was observed last.
 """
 
 from __future__ import annotations
@@ -129,7 +129,7 @@
 
         An answer that is not streamed is sent after its last token, so its connection
         is silent for as long as all of its tokens take.  If the engine lists its open
-        requests, it can be asked about this one, so the short bound is enough.
+        requests, it can be asked about this request, so the short limit is enough.
         """
         silence_s = self._cfg.upstream_silence_s + PREFILL_SLACK * prefill_s
         if req.stream:
--- a/gooseberrydale/process/sidecar/dispatcher.py
+++ b/gooseberrydale/process/sidecar/dispatcher.py
@@ -1,7 +1,7 @@
-"""Accepts attempts, runs one upstream call for each, and drops answers after a while.
+"""Accepts attempts, runs an upstream call for each, and retains answers for a time.
 
-The dispatcher combines two components that do no I/O: the gate decides whether an
-attempt may run at all, the admission when it starts.
+The dispatcher combines two components that do no I/O: the gate, which decides whether
+an attempt may run at all, and the admission, which decides when it starts.
 """
 
 from __future__ import annotations
--- a/gooseberrydale/process/sidecar/kv_transfer.py
+++ b/gooseberrydale/process/sidecar/kv_transfer.py
@@ -57,7 +57,7 @@
     def record_use(self, pieces: Sequence[KvPiece]) -> None:
         """Record that a prompt with these pieces was computed or found cached.
 
-        Pieces that are worth it are queued for export.
+        Pieces that have been used repeatedly are queued for export.
         """
         if not self._store:
             return
--- a/gooseberrydale/process/sidecar/upstream_runs.py
+++ b/gooseberrydale/process/sidecar/upstream_runs.py
@@ -1,9 +1,9 @@
 """Records which attempts run at the upstream, and reports them when it ends.
 
-Requests that end their upstreams are found from these reports; they are sent to all
-processes.  The records span all incarnations of the upstream.  An upstream that ends
-breaks its connections before a poll finds it unreachable, and it may have restarted, as
-another incarnation, before the next poll.
+All processes receive the reports and use them to find requests that end their upstreams.
+The records span all incarnations of the upstream: an upstream that ends breaks its
+connections before a poll finds it unreachable, and it may have restarted, as another
+incarnation, before the next poll.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Incarnation:
-    """One incarnation of the upstream; the sidecar numbers them to name them."""
+    """One incarnation of the upstream, under a name that the sidecar assigns."""
 
     name: str
     runs: OpenRuns
--- a/gooseberrydale/process/sidecar/worker.py
+++ b/gooseberrydale/process/sidecar/worker.py
@@ -68,7 +68,7 @@
         return [(key.hex(), tokens) for key, tokens in self._calls.piece_keys(req)]
 
     async def _import(self, req: DispatchReq) -> int:
-        """Import pieces from the KV store; return the tokens that are then cached."""
+        """Import missing pieces from the KV store; return the imported tokens."""
         if not self._cfg.kv_store or not req.pieces:
             return 0
         root = self._calls.root(req).hex()
--- a/tests/test_entry_claims.py
+++ b/tests/test_entry_claims.py
@@ -161,27 +161,27 @@
 @pytest.mark.parametrize("reachable", [True, False], ids=["tombstone", "unreachable"])
 def test_claim_without_a_dispatch_moves_only_with_a_tombstone(reachable: bool) -> None:
     async def scenario() -> None:
-        lost, fake = service("s1"), service("s2")
-        for sidecar in (lost, fake):
+        claimed, fake = service("s1"), service("s2")
+        for sidecar in (claimed, fake):
             sidecar.cancel_reply = CancelReply(not_run=True)
-        lost.on_attach = lost.refuse_attach
-        await lost.start()
+        claimed.on_attach = claimed.refuse_attach
+        await claimed.start()
         async with fleet(fake) as (entry, leader):
             # The entry that claimed the key was lost before it dispatched the attempt.
             await bid(entry, key="other")
             digest = leader.table.records[0].digest
             claim = ClaimReq(
-                "a", KEY, digest, replace(holder_at(lost, "lost"), record_seq=SEQ)
+                "a", KEY, digest, replace(holder_at(claimed, "lost"), record_seq=SEQ)
             )
             leader.table.claim(claim, asyncio.get_running_loop().time(), Limits())
             if not reachable:
-                await lost.close()
+                await claimed.close()
             answer = await bid(entry)
             record = leader.table.records[-1]
         if reachable:
-            await lost.close()
+            await claimed.close()
             assert answer.status_code == 201 and len(fake.dispatched) == 2
-            [cancellation] = lost.cancelled
+            [cancellation] = claimed.cancelled
             assert (cancellation.request_id, cancellation.record_seq) == ("lost", SEQ)
             assert record.holder.request_id == fake.dispatched[1].request_id
         else:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -148,11 +148,11 @@
 def test_cancelling_a_running_call_that_is_not_repeatable_does_not_stop_it(
     tmp_path: pathlib.Path,
 ) -> None:
-    asked = asyncio.Event()
+    received = asyncio.Event()
     go = asyncio.Event()
 
     async def answer(_req: Request, writer: Writer) -> None:
-        asked.set()
+        received.set()
         await go.wait()
         await send_events(writer, EVENTS)
 
@@ -160,7 +160,7 @@
         async with running_sidecar(tmp_path, answer) as harness:
             call = harness.dispatch(repeatable=False)
             reading = asyncio.create_task(read_frames(call))
-            await asked.wait()
+            await received.wait()
             assert (await harness.cancel()).not_run is False
             go.set()
             assert isinstance((await reading)[-1], End)
