--- a/gooseberrydale/process/sidecar/upstream_runs.py
+++ b/gooseberrydale/process/sidecar/upstream_runs.py
@@ -1,9 +1,9 @@
 """Records which attempts run at the upstream, and reports them when it ends.
 
-All processes receive the reports and use them to find requests that end their upstreams.
-The records span all incarnations of the upstream: an upstream that ends breaks its
-connections before a poll finds it unreachable, and it may have restarted, as another
-incarnation, before the next poll.
+All processes receive the reports and use them to find requests that end their
+upstreams.  The records span all incarnations of the upstream: an upstream that ends
+breaks its connections before a poll finds it unreachable, and it may have restarted, as
+another incarnation, before the next poll.
 """
 
 from __future__ import annotations
@@ -39,8 +39,8 @@
     """The attempts that run at the upstream of one sidecar.
 
     When an incarnation of the upstream ends, its attempts are reported to
-    ``ended_incarnations``.  Nothing is reported while ``is_leaving``: the upstream is
-    then being stopped, and no request is the cause.
+    ``ended_incarnations``.  While ``is_leaving`` the end is only logged: the upstream
+    is then being stopped, and no request is the cause.
     """
 
     def __init__(
--- a/tests/builders_sidecar.py
+++ b/tests/builders_sidecar.py
@@ -155,7 +155,7 @@
 
 
 def sidecar_cfg(folder: pathlib.Path, upstream: str, **settings: Any) -> Cfg:
-    """Settings of a sidecar that listens on a free port."""
+    """Settings of a sidecar on a free port, with short shutdown times."""
     token_file = folder / "token"
     token_file.write_text(TOKEN + "\n")
     defaults: dict[str, Any] = {
--- a/tests/test_sidecar_engine.py
+++ b/tests/test_sidecar_engine.py
@@ -69,7 +69,7 @@
 
 
 async def wait_until_cached(harness: SidecarHarness) -> None:
-    """Wait until the sidecar has received a cache event."""
+    """Wait until the sidecar has recorded a cached block."""
     while harness.sidecar.dispatcher.load().cached_blocks == 0:
         await asyncio.sleep(0.01)
 
