--- a/gooseberrydale/version/cache_view.py
+++ b/gooseberrydale/version/cache_view.py
@@ -1,10 +1,9 @@
-"""Which pieces one incarnation of an upstream holds in its cache, exactly or not at
-all.
+"""View of the pieces in the cache of an upstream, built from its events.
 
-Lives as long as that incarnation of the upstream under one weights version; ``begin``
-drops everything.  Pure.  Events come late, repeated, out of order and with gaps.
-While one is missing the view is incomplete and every piece counts as absent; a
-snapshot makes it complete again.
+The view covers one incarnation of the upstream under one weights version; ``begin``
+drops the contents when either changes.  Events arrive late, repeated, out of order and
+with gaps.  While one is missing, the view is incomplete and every piece counts as
+absent; a snapshot makes it complete again.  This module does no I/O.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class CacheView:
-    """The cached keys of one upstream."""
+    """Keys of the cached pieces of one upstream; exact whenever it is complete."""
 
     def __init__(self) -> None:
         self._incarnation: tuple[str, str] = ("", "")
@@ -33,17 +32,19 @@
 
     @property
     def complete(self) -> bool:
-        """True if no change up to the newest event known is missing."""
+        """Whether all events up to the newest one received have been applied."""
         return self._seq is not None and not self._pending
 
     @property
     def seq(self) -> int:
-        """Number of the last change that is part of the view; -1 if none is."""
+        """Sequence number of the last event applied, -1 if there is none."""
         return -1 if self._seq is None else self._seq
 
     def begin(self, incarnation: str, weights_version: str) -> bool:
-        """Start over if the upstream has another incarnation or weights; say
-        whether."""
+        """Start with an empty view if the incarnation or the weights have changed.
+
+        Return whether they have.
+        """
         if self._incarnation == (incarnation, weights_version):
             return False
         self._incarnation = (incarnation, weights_version)
@@ -51,13 +52,13 @@
         return True
 
     def interrupt(self) -> None:
-        """Events may have been missed; only a snapshot helps."""
+        """Mark the view incomplete until the next snapshot, as events may be lost."""
         self._keys = set()
         self._seq = None
         self._pending = {}
 
     def apply(self, event: CacheEvent) -> None:
-        """Take an event in, whenever it comes."""
+        """Apply an event, or store it until the events before it have arrived."""
         if event.incarnation != self._incarnation[0]:
             self.ignored += 1
             return
@@ -69,7 +70,7 @@
         self._catch_up()
 
     def load(self, snapshot: CacheSnapshot) -> None:
-        """Take a snapshot in, unless the view is already past it."""
+        """Replace the view by a snapshot unless the view is newer."""
         if snapshot.incarnation != self._incarnation[0]:
             self.ignored += 1
             return
@@ -81,22 +82,22 @@
         self._catch_up()
 
     def cached_tokens(self, pieces: Sequence[tuple[str, int]]) -> int:
-        """Tokens at the start of a prompt that are cached.
+        """Return the number of tokens at the start of a prompt that are cached.
 
-        ``pieces`` are full keys with their tokens, outermost first.  A piece counts
-        only if all before it are cached.
+        ``pieces`` are full keys with their tokens, from the start of the prompt.  A
+        piece counts only if all pieces before it are cached.
         """
         return sum(size for _, size in pieces[: self.prefix_length(pieces)])
 
     def prefix_length(self, pieces: Sequence[tuple[str, int]]) -> int:
-        """Count of pieces at the start of a prompt that are cached."""
+        """Return the number of pieces at the start of a prompt that are cached."""
         if not self.complete:
             return 0
         hits = itertools.takewhile(lambda piece: piece[0] in self._keys, pieces)
         return sum(1 for _ in hits)
 
     def missing(self, pieces: Iterable[tuple[str, int]]) -> list[tuple[str, int]]:
-        """The pieces that are not known to be cached."""
+        """Return the pieces that are not cached, or all if the view is incomplete."""
         if not self.complete:
             return list(pieces)
         return [piece for piece in pieces if piece[0] not in self._keys]
@@ -106,13 +107,18 @@
             return
         while (event := self._pending.pop(self._seq + 1, None)) is not None:
             if event.seq != self._seq + 1:
-                raise InvariantError(f"event {event.seq} applied after {self._seq}")
+                raise InvariantError(
+                    f"cache event {event.seq} applied after {self._seq}"
+                )
             self._keys.difference_update(event.removed)
             self._keys.update(event.stored)
             self._seq = event.seq
 
     def _drop_oldest(self) -> None:
-        """Too many wait for one that is lost: start over from a snapshot."""
+        """Discard all pending events but the newest, which forces a snapshot.
+
+        An event before them must be lost, as too many wait for it.
+        """
         newest = max(self._pending)
         kept = {newest: self._pending[newest]}
         self.interrupt()
--- a/gooseberrydale/version/kv_use.py
+++ b/gooseberrydale/version/kv_use.py
@@ -1,7 +1,7 @@
-"""Which cached pieces are worth moving to and from the store of kept KV cache.
+"""Selects cached pieces to export to and import from the KV cache store.
 
-Lives as long as one incarnation of the upstream under one weights version.  Pure.  A
-piece is exported once it was used repeatedly; missing pieces are imported where that is
+One object per incarnation of an upstream and weights version; no I/O.  A piece is
+exported once it was used repeatedly.  Missing pieces are imported where that is
 expected to be cheaper than computing them.
 """
 
@@ -12,19 +12,19 @@
 from dataclasses import dataclass
 from typing import Any
 
-USES_TO_EXPORT = 2
-KEPT_KEYS = 8_192
-ABSENT_S = 5.0
+MIN_USES_TO_EXPORT = 2
+MAX_KEYS = 8_192
+ABSENT_TTL_S = 5.0
 DEFAULT_TRANSFER_TPS = 50_000.0
 SMOOTHING = 0.2
-# Lookups and orders cost about this much, however small the piece is.
-FIXED_COST_S = 0.02
+# Cost of a lookup or a transfer order, regardless of the size of the piece.
+OPERATION_COST_S = 0.02
 MIN_TOKENS = 256
 
 
 @dataclass(frozen=True, slots=True)
 class KvPiece:
-    """A piece under its full key; ``root`` and ``key`` in hex."""
+    """A cached piece of a prompt; ``root`` and its full ``key`` are in hex."""
 
     root: str
     key: str
@@ -32,7 +32,7 @@
 
 
 class KvUse:
-    """Counts uses, remembers what the store lacks, and learns its rate."""
+    """Counts uses, and tracks missing pieces and the transfer rate of the store."""
 
     def __init__(self) -> None:
         self._uses: OrderedDict[str, int] = OrderedDict()
@@ -41,12 +41,12 @@
         self.transfer_tps = DEFAULT_TRANSFER_TPS
 
     def used(self, pieces: Iterable[KvPiece]) -> list[KvPiece]:
-        """Count a use of each piece; return those that should be exported now."""
+        """Count a use of each piece; return the pieces to export now."""
         due = []
         for piece in pieces:
             count = self._uses.pop(piece.key, 0) + 1
             self._uses[piece.key] = count
-            if count >= USES_TO_EXPORT and piece.tokens >= MIN_TOKENS:
+            if count >= MIN_USES_TO_EXPORT and piece.tokens >= MIN_TOKENS:
                 if piece.key not in self._exported:
                     self._exported[piece.key] = None
                     due.append(piece)
@@ -55,16 +55,17 @@
         return due
 
     def not_exported(self, piece: KvPiece) -> None:
-        """The export failed; a later use may try again."""
+        """Record that an export failed; later uses may trigger another one."""
         self._exported.pop(piece.key, None)
         self._uses.pop(piece.key, None)
 
     def worth_asking(
         self, missing: Sequence[KvPiece], prefill_tps: float, now: float
     ) -> list[KvPiece]:
-        """The first of the missing pieces, up to one that the store lacks.
+        """Return the missing pieces to request from the store.
 
-        Empty if computing them is expected to be as cheap as moving them.
+        The result ends before the first piece that the store lacks.  It is empty if
+        computing the pieces is expected to be as cheap as moving them.
         """
         wanted = []
         for piece in missing:
@@ -74,26 +75,27 @@
         return wanted if self.is_cheaper(wanted, prefill_tps) else []
 
     def is_cheaper(self, pieces: Sequence[KvPiece], prefill_tps: float) -> bool:
-        """Whether moving the pieces is expected to beat computing them."""
+        """Return whether moving the pieces should take less time than computing
+        them."""
         tokens = sum(piece.tokens for piece in pieces)
         if tokens < MIN_TOKENS:
             return False
-        move_s = FIXED_COST_S * (1 + len(pieces)) + tokens / self.transfer_tps
+        move_s = OPERATION_COST_S * (1 + len(pieces)) + tokens / self.transfer_tps
         return move_s < tokens / prefill_tps
 
     def absent(self, piece: KvPiece, now: float) -> None:
-        """The store does not hold the piece."""
+        """Record that the store does not hold the piece."""
         self._absent.pop(piece.key, None)
-        self._absent[piece.key] = now + ABSENT_S
+        self._absent[piece.key] = now + ABSENT_TTL_S
         _trim(self._absent)
 
     def moved(self, tokens: int, seconds: float) -> None:
-        """Learn from a finished import."""
+        """Update the transfer rate after an import."""
         if seconds > 0:
             rate = tokens / seconds
             self.transfer_tps += SMOOTHING * (rate - self.transfer_tps)
 
 
 def _trim(entries: OrderedDict[str, Any]) -> None:
-    while len(entries) > KEPT_KEYS:
+    while len(entries) > MAX_KEYS:
         entries.popitem(last=False)
--- a/gooseberrydale/version/open_runs.py
+++ b/gooseberrydale/version/open_runs.py
@@ -1,9 +1,8 @@
-"""What one process has running at one incarnation of an upstream, in case that
-incarnation ends.
+"""Requests that one process has running at one incarnation of an upstream.
 
-Lives as long as that incarnation; pure.  The connections of an upstream that ends break
-some tenths of a second before anybody knows that it has ended, so runs that broke are
-remembered for that long.
+One object per incarnation; no I/O.  When an upstream ends, these requests are reported
+as running there.  Connections of an upstream that ends break some tenths of a second
+before its end is detected, so broken runs are remembered for a while.
 """
 
 from __future__ import annotations
@@ -14,38 +13,42 @@
 from enum import Enum, auto
 
 NOTICED_S = 2.0
-"""A run that broke belongs to the end of its upstream if that is found within this
-time; two questions in vain take about a second."""
+"""Time for which a broken run is attributed to an end of its upstream that is detected
+later; two failed probes take about a second."""
 
-MOST_BROKEN = 512
-"""Runs that broke and are remembered; more than an upstream runs and queues."""
+MAX_BROKEN_RUNS = 512
+"""Broken runs that are remembered; more than an upstream runs and queues."""
 
 
 class RunEnd(Enum):
-    """How a send ended, for what it says of its upstream."""
+    """How a run ended, as far as it matters for the upstream."""
 
     ANSWERED = auto()
-    """The upstream answered to the end, so it was there."""
+    """The upstream sent the whole answer, so it was running."""
     BROKE = auto()
-    """The connection broke, or brought what is no answer."""
+    """The connection broke, or delivered something that is not an answer."""
     LEFT = auto()
-    """It was given up on this side."""
+    """This side gave the request up."""
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One send; ``answering`` once a part of its answer has come."""
+    """One request sent to the upstream.
+
+    ``answering`` is True once part of its answer has arrived, ``reported`` once it was
+    reported as running when the upstream ended.
+    """
 
     request: bytes
     answering: bool = False
-    told: bool = False
+    reported: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class LostRuns:
-    """Fingerprints of what an upstream ran when it ended.
+    """Fingerprints of the requests that ran at an upstream when it ended.
 
-    No part of the answers to those ``waiting`` had come.
+    Those ``waiting`` had received no part of their answers.
     """
 
     waiting: tuple[bytes, ...] = ()
@@ -56,59 +59,62 @@
 
 
 class OpenRuns:
-    """Runs at one incarnation; times are seconds of the loop."""
+    """Runs at one incarnation; times are seconds of the event loop's clock."""
 
     def __init__(self) -> None:
         self._open: set[Run] = set()
-        self._broken: deque[tuple[float, Run]] = deque(maxlen=MOST_BROKEN)
-        self._is_over = False
+        self._broken: deque[tuple[float, Run]] = deque(maxlen=MAX_BROKEN_RUNS)
+        self._has_ended = False
         self._is_doubtful = False
 
     @property
     def is_over(self) -> bool:
-        """Whether the incarnation is known to have ended."""
-        return self._is_over
+        """Whether the end of the incarnation was detected."""
+        return self._has_ended
 
     def began(self, request: bytes) -> Run:
-        """A request was sent."""
+        """Record that a request was sent."""
         run = Run(request)
         self._open.add(run)
         return run
 
     def ended(self, run: Run, now: float, end: RunEnd) -> None:
-        """A send has ended."""
+        """Record how a run ended."""
         self._open.discard(run)
         if end is not RunEnd.ANSWERED:
             self._broken.append((now, run))
-        if end is RunEnd.BROKE and not self._is_over:
+        if end is RunEnd.BROKE and not self._has_ended:
             self._is_doubtful = True
 
     def take_doubt(self) -> bool:
-        """Whether a run broke since this was asked last.
+        """Return whether a run broke since the last call.
 
-        Then the upstream is asked at once whether it is there: later, another
-        incarnation may answer in its place, and nobody knows any more what ran when it
-        ended.
+        The upstream is then probed immediately: later, another incarnation may answer
+        in its place, and the requests that ran when it ended could no longer be
+        determined.
         """
         doubtful, self._is_doubtful = self._is_doubtful, False
         return doubtful
 
     def over(self, now: float) -> LostRuns:
-        """The incarnation has ended; return what it ran and was not told before."""
-        self._is_over, self._is_doubtful = True, False
-        lately = [run for at, run in self._broken if now < at + NOTICED_S]
+        """Record that the incarnation has ended.
+
+        Return the requests that ran there and were not returned before.
+        """
+        self._has_ended, self._is_doubtful = True, False
+        recent = [run for at, run in self._broken if now < at + NOTICED_S]
         self._broken.clear()
-        new = [run for run in (*self._open, *lately) if not run.told]
+        new = [run for run in (*self._open, *recent) if not run.reported]
         for run in new:
-            run.told = True
+            run.reported = True
         return LostRuns(
             waiting=_requests(run for run in new if not run.answering),
             answering=_requests(run for run in new if run.answering),
         )
 
     def back(self) -> None:
-        """The incarnation goes on after all; it could not be reached for a while."""
-        self._is_over = False
+        """Record that the incarnation still runs and was only unreachable."""
+        self._has_ended = False
 
 
 def _requests(runs: Iterable[Run]) -> tuple[bytes, ...]:
--- a/gooseberrydale/version/patience.py
+++ b/gooseberrydale/version/patience.py
@@ -1,48 +1,55 @@
-"""How long callers of a route are ready to wait when they first ask, as observed.
+"""Estimates how long callers have already waited before their current attempt.
 
-Lives as long as the process; pure.  A caller that was told to come back has less time
-left than the others when it does.  Nothing else tells its request from a fresh one.
+One object per process; no I/O.  A request names the time that its caller is still
+prepared to wait.  A refused caller that retries has less of it left than the callers of
+the same route that ask for the first time; nothing else distinguishes its request from
+a new one.  The difference to the longest wait limit seen on the route is the time that
+was spent on earlier, refused attempts.
 """
 
 from __future__ import annotations
 
 SMOOTHING = 0.05
-"""Weight of the newest caller: about the last twenty count."""
+"""Weight of the newest caller; roughly the last twenty callers count."""
 
-MOSTLY = 0.5
-"""Part of the callers that must have the same patience; with fewer, callers differ and
-nothing follows from how long one of them waits."""
+MIN_COMMON_FRACTION = 0.5
+"""Fraction of callers that must have the longest wait limit.  If fewer have it, wait
+limits vary between callers, and a short one does not indicate a retry."""
 
-RARELY = 0.1
-"""With fewer than this part the longest patience is no longer the usual one."""
+MIN_LONGEST_FRACTION = 0.1
+"""Fraction of callers below which the longest wait limit counts as outdated and is
+replaced."""
 
-SAME_PART = 0.02
-"""Two callers whose patience differs by no more have the same."""
+SAME_LIMIT_TOLERANCE = 0.02
+"""Relative difference up to which two wait limits count as the same."""
 
-KEPT_ROUTES = 4_096
+MAX_ROUTES = 4_096
 
 
 class Patience:
-    """The longest time that callers of each route said they would wait."""
+    """The longest wait limit that callers of each route have named."""
 
     def __init__(self) -> None:
         self._longest_s: dict[str, float] = {}
-        # Which part of the callers of a route would wait that long.
+        # Fraction of the callers of each route that have the longest wait limit.
         self._same: dict[str, float] = {}
 
     def waited_before_s(self, route: str, wait_s: float | None) -> float:
-        """For how long the caller has waited already; notes its patience as well."""
+        """Return the time that a caller has waited already; record its wait limit.
+
+        ``wait_s`` is how long the caller is still prepared to wait, None if unknown.
+        """
         if wait_s is None:
             return 0.0
         longest_s = self._longest_s.get(route, 0.0)
-        rare = self._same.get(route, 0.0) < RARELY
-        if rare or wait_s > longest_s * (1.0 + SAME_PART):
-            if longest_s or len(self._longest_s) < KEPT_ROUTES:
+        rare = self._same.get(route, 0.0) < MIN_LONGEST_FRACTION
+        if rare or wait_s > longest_s * (1.0 + SAME_LIMIT_TOLERANCE):
+            if longest_s or len(self._longest_s) < MAX_ROUTES:
                 self._longest_s[route], self._same[route] = wait_s, 1.0
             return 0.0
-        same = wait_s >= longest_s * (1.0 - SAME_PART)
+        same = wait_s >= longest_s * (1.0 - SAME_LIMIT_TOLERANCE)
         known = self._same[route]
         self._same[route] = known + SMOOTHING * (float(same) - known)
-        if same or self._same[route] < MOSTLY:
+        if same or self._same[route] < MIN_COMMON_FRACTION:
             return 0.0
         return longest_s - wait_s
--- a/gooseberrydale/version/peer_loads.py
+++ b/gooseberrydale/version/peer_loads.py
@@ -1,8 +1,8 @@
-"""The work that the other gateways have at each upstream, as they tell it.
+"""Work that the other gateways report for each upstream.
 
-Lives as long as the process; pure.  A gateway tells what has changed, and all its work
-from time to time, so that a lost message is made up for; whoever falls silent is
-forgotten.  Of gateways in other availability zones a relay tells sums.
+One object per process; no I/O.  A gateway reports what has changed, and from time to
+time all its work, which makes up for lost messages.  The work of a gateway that stops
+reporting is dropped.  For other availability zones a relay reports sums.
 """
 
 from __future__ import annotations
@@ -15,25 +15,27 @@
 from gooseberrydale.connection.codec import message
 
 FORGET_S = 2.5
-"""A gateway tells its work each second at least; two messages in a row may be lost."""
+"""Time after its last report for which a gateway's work is kept.  Reports come at least
+every second, so two in a row may be lost."""
 
 
-NAMES_LAST_S = 1.2
-"""What a gateway said of upstreams that refuse or are silent holds until its next
-message, which comes within a second."""
+NAMES_TTL_S = 1.2
+"""Time for which a gateway's lists of refusing and silent upstreams are used; its next
+report comes within a second."""
 
-RELAY_KEEPS_S = 0.3
-"""Sums of an area are taken from one relay until it says nothing for this long, some
-six of its messages: two that both take themselves for the relay don't alternate."""
+RELAY_TIMEOUT_S = 0.3
+"""Time without a report, about six of them, after which another relay may report the
+sums of an area.  This keeps two gateways that both consider themselves the relay from
+alternating."""
 
 ELSEWHERE = ""
-"""The area of all availability zones but the own one."""
+"""Name of the area that consists of all availability zones but the own one."""
 
 
 class UpstreamWork(msgspec.Struct, frozen=True, array_like=True):
     """One gateway's work at one upstream: requests, and tokens.
 
-    Without field names on the wire, as reports hold many of them.
+    Encoded without field names, as reports contain many of them.
     """
 
     upstream: str
@@ -47,10 +49,10 @@
 class WorkReport:
     """Work of one gateway; ``seq`` rises within one ``incarnation``.
 
-    ``works`` are those that changed, or all if the report is ``whole``; at an upstream
-    that is not told of, a whole report says that there is none.  ``refusing`` names the
-    upstreams that refused a request of it just now, ``silent`` those that it takes for
-    dead.
+    ``works`` are the entries that changed, or all of them if the report is ``whole``;
+    an upstream that is missing from a whole report has no work of the gateway.
+    ``refusing`` names upstreams that just refused a request of the gateway, ``silent``
+    those that it considers dead.
     """
 
     name: str
@@ -85,7 +87,9 @@
 
 
 @dataclass(slots=True)
-class _Heard:
+class _Reported:
+    """Merged reports of one gateway, or of the relay of one area."""
+
     sender: str
     incarnation: str
     seq: int
@@ -106,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """What several gateways told, as one: sums of work, and all names."""
+    """Combined reports of several gateways: sums of work, and the lists of names."""
 
     works: Mapping[str, UpstreamWork]
     refusing: tuple[str, ...]
@@ -114,72 +118,75 @@
 
 
 class PeerLoads:
-    """Sums of the newest reports of all other gateways."""
+    """Sums over the latest reports of all other gateways."""
 
     def __init__(self) -> None:
-        self._heard: dict[str, _Heard] = {}
-        self._areas: dict[str, _Heard] = {}
+        self._gateways: dict[str, _Reported] = {}
+        self._areas: dict[str, _Reported] = {}
         self._totals: dict[str, Totals] = {}
-        self._unheard = 0.0
+        self._unreported_ratio = 0.0
 
     def __len__(self) -> int:
-        return len(self._heard) + len(self._areas)
+        return len(self._gateways) + len(self._areas)
 
     @property
     def gateways(self) -> Iterable[str]:
-        """The gateways that tell of themselves here."""
-        return self._heard.keys()
+        """The gateways that report directly to this one."""
+        return self._gateways.keys()
 
     @property
     def unheard(self) -> float:
-        """How many gateways are not heard, for each that is.
+        """Number of gateways without any report, for each gateway that reports.
 
-        Until sums of the other zones are heard, gateways there are taken to have as
-        much work as those of the own one.  It answers the second after a loss of power,
-        in which relays come back late: engines seemed to have a sixth of their work,
-        and got too much.
+        Until sums of other zones arrive, gateways there are assumed to have as much
+        work as those of the own zone.  Otherwise, in the second after a loss of power,
+        in which relays start late, engines appear to have a sixth of their work and get
+        too many requests.
         """
-        return 0.0 if self._areas else self._unheard
+        return 0.0 if self._areas else self._unreported_ratio
 
     def note_unheard(self, gateways: int, heard: int) -> None:
-        """Of the others ``gateways`` tell nothing here, and ``heard`` do."""
-        self._unheard = gateways / max(1, heard)
+        """Record how many other gateways do not report here, and how many do."""
+        self._unreported_ratio = gateways / max(1, heard)
 
     def take(self, report: WorkReport, now: float) -> bool:
-        """Take a report in unless a newer one of that gateway was; say whether."""
-        return self._take(self._heard, report.name, report.name, report, now)
+        """Merge a report; return False if a newer one of that gateway was merged."""
+        return self._take(self._gateways, report.name, report.name, report, now)
 
     def take_area(self, report: AreaReport, now: float) -> bool:
-        """Take sums in unless newer ones, or those of another relay, were."""
+        """Merge the sums of an area.
+
+        Return False if newer sums were merged, or another relay still reports the area.
+        """
         known = self._areas.get(report.area)
         if known is not None and known.sender != report.relay:
-            if now < known.at + RELAY_KEEPS_S:
+            if now < known.at + RELAY_TIMEOUT_S:
                 return False
             self._drop(self._areas, report.area)
         return self._take(self._areas, report.area, report.relay, report, now)
 
     def forget_areas(self) -> None:
-        """This gateway is now told sums by others, or by nobody any more."""
+        """Drop all sums, as other relays or none report here from now on."""
         for area in list(self._areas):
             self._drop(self._areas, area)
 
     def expire(self, now: float) -> None:
-        """Forget gateways and relays that have fallen silent."""
-        for table in (self._heard, self._areas):
-            for name in [n for n, one in table.items() if one.at + FORGET_S <= now]:
+        """Drop the work of gateways and relays that have stopped reporting."""
+        for table in (self._gateways, self._areas):
+            for name in [k for k, known in table.items() if known.at + FORGET_S <= now]:
                 self._drop(table, name)
 
     def near(self, now: float) -> Summary:
-        """What the gateways that are heard directly told."""
-        return _summary(self._heard.values(), now)
+        """Return the summary of the gateways that report directly."""
+        return _summary(self._gateways.values(), now)
 
     def elsewhere(self, now: float) -> Summary:
-        """What relays told."""
+        """Return the summary of the sums that relays report."""
         return _summary(self._areas.values(), now)
 
     def _take(
         self,
-        table: dict[str, _Heard],
+        table: dict[str, _Reported],
         key: str,
         sender: str,
         report: Report,
@@ -187,30 +194,30 @@
     ) -> bool:
         known = table.get(key)
         if known is None:
-            known = table[key] = _Heard(sender, "", 0, now)
+            known = table[key] = _Reported(sender, "", 0, now)
         elif (report.incarnation, report.seq) <= (known.incarnation, known.seq):
             return False
         new_incarnation = report.incarnation != known.incarnation
         known.incarnation, known.seq, known.at = report.incarnation, report.seq, now
         known.refusing, known.silent = report.refusing, report.silent
         if report.whole or new_incarnation:
-            told = {work.upstream for work in report.works}
-            for name in known.works.keys() - told:
+            reported = {work.upstream for work in report.works}
+            for name in known.works.keys() - reported:
                 self._replace(known.works, UpstreamWork(name, 0, 0, 0))
         for work in report.works:
             self._replace(known.works, work)
         return True
 
-    def _drop(self, table: dict[str, _Heard], key: str) -> None:
+    def _drop(self, table: dict[str, _Reported], key: str) -> None:
         for work in table.pop(key).works.values():
             self._add(work, -1)
 
     def at(self, upstream: str) -> Totals:
-        """The work of all other gateways at an upstream."""
-        return self._totals.get(upstream, _NOTHING)
+        """Return the work of all other gateways at an upstream."""
+        return self._totals.get(upstream, _NO_WORK)
 
     def _replace(self, works: dict[str, UpstreamWork], work: UpstreamWork) -> None:
-        """What one gateway has at an upstream is now ``work``."""
+        """Replace one gateway's work at an upstream and correct the totals."""
         old = works.pop(work.upstream, None)
         if old is not None:
             self._add(old, -1)
@@ -228,46 +235,47 @@
 
 
 def add_up(works: Iterable[UpstreamWork]) -> dict[str, UpstreamWork]:
-    """The sums of ``works`` by upstream."""
-    found: dict[str, UpstreamWork] = {}
-    for one in works:
-        known = found.get(one.upstream)
-        found[one.upstream] = (
-            one
+    """Return the sums of ``works`` by upstream."""
+    sums: dict[str, UpstreamWork] = {}
+    for work in works:
+        known = sums.get(work.upstream)
+        sums[work.upstream] = (
+            work
             if known is None
             else UpstreamWork(
-                one.upstream,
-                known.requests + one.requests,
-                known.prefill_tokens + one.prefill_tokens,
-                known.kv_tokens + one.kv_tokens,
+                work.upstream,
+                known.requests + work.requests,
+                known.prefill_tokens + work.prefill_tokens,
+                known.kv_tokens + work.kv_tokens,
             )
         )
-    return found
+    return sums
 
 
-def _summary(heard: Iterable[_Heard], now: float) -> Summary:
-    known = list(heard)
-    lately = [one for one in known if now < one.at + NAMES_LAST_S]
+def _summary(reported: Iterable[_Reported], now: float) -> Summary:
+    senders = list(reported)
+    recent = [sender for sender in senders if now < sender.at + NAMES_TTL_S]
     return Summary(
-        works=add_up(work for one in known for work in one.works.values()),
-        refusing=_names(lately, lambda one: one.refusing),
-        silent=_names(lately, lambda one: one.silent),
+        works=add_up(work for sender in senders for work in sender.works.values()),
+        refusing=_names(recent, lambda sender: sender.refusing),
+        silent=_names(recent, lambda sender: sender.silent),
     )
 
 
 def _names(
-    heard: Iterable[_Heard], of: Callable[[_Heard], tuple[str, ...]]
+    senders: Iterable[_Reported], names_of: Callable[[_Reported], tuple[str, ...]]
 ) -> tuple[str, ...]:
-    return tuple(sorted({name for one in heard for name in of(one)}))
+    return tuple(sorted({name for sender in senders for name in names_of(sender)}))
 
 
 def changes(
     told: Mapping[str, UpstreamWork], works: Mapping[str, UpstreamWork]
 ) -> tuple[UpstreamWork, ...]:
-    """What differs in ``works`` from what was ``told``; ended work counts as 0."""
+    """Return the entries of ``works`` that differ from those reported before, in
+    ``told``; work that has ended is 0."""
     ended = (UpstreamWork(name, 0, 0, 0) for name in told.keys() - works.keys())
     new = (work for name, work in works.items() if told.get(name) != work)
     return (*ended, *new)
 
 
-_NOTHING = Totals()
+_NO_WORK = Totals()
--- a/gooseberrydale/version/quotas/__init__.py
+++ b/gooseberrydale/version/quotas/__init__.py
@@ -1,5 +1,7 @@
-"""Quotas of workspaces over all gateways.
+"""Quotas of workspaces, enforced over all gateways together.
 
-``ledger`` counts one workspace at its owner, ``account`` is what one gateway has spent
-and knows, ``owners`` says which gateways count which workspace.  All of it is pure.
+``owners`` selects the gateways that own the count of a workspace.  ``ledger`` counts
+one workspace at its owner, ``counting`` has all ledgers of one owner.  ``account`` has
+what one gateway has spent and the owner's latest answer.  None of these modules does
+I/O.
 """
--- a/gooseberrydale/version/quotas/counting.py
+++ b/gooseberrydale/version/quotas/counting.py
@@ -1,4 +1,7 @@
-"""All ledgers of one owner, and the notices that it sends to gateways.  Pure."""
+"""All ledgers of one quota owner, and the notices that it sends to gateways.
+
+This module does no I/O.
+"""
 
 from __future__ import annotations
 
@@ -15,21 +18,22 @@
 )
 from gooseberrydale.version.quotas.quota import Quota
 
-FORGET_S = 60.0
-"""A workspace that nobody spent anything for is forgotten: its bucket is full."""
+LEDGER_RETENTION_S = 60.0
+"""Time without spending after which a ledger is dropped: its bucket is full by then."""
 
-REMIND_S = 0.5
-"""Gateways that have not reported for so long get the notice again."""
+REMINDER_INTERVAL_S = 0.5
+"""Time without a report after which a gateway is sent the notice again."""
 
 Quotas = Callable[[], Mapping[str, Quota]]
 Notices = dict[str, QuotaLevels]
 
 
 class Counting:
-    """The ledgers of one process, as the gateway ``name``.
+    """The ledgers of one process, the gateway ``name``.
 
-    ``quotas`` are those in force.  A ledger that begins holds what may have been filled
-    since ``started_at``: what was spent before this process started is not known.
+    ``quotas`` returns the quotas in force.  A new ledger starts with what the bucket
+    can have gained since ``started_at``, as the spending before this process started
+    is unknown.
     """
 
     def __init__(self, name: str, quotas: Quotas, started_at: float) -> None:
@@ -39,56 +43,56 @@
         self._ledgers: dict[str, Ledger] = {}
 
     def report(self, report: QuotaReport, now: float) -> Notices:
-        """Take a report in; returns the notices to send, by gateway."""
+        """Merge a report; return the notices to send, by gateway."""
         levels: defaultdict[str, list[Level]] = defaultdict(list)
         for item in report.items:
             ledger = self._ledger(item.workspace, now)
             if ledger is None:
                 continue
-            is_less = ledger.report(
+            has_dropped = ledger.report(
                 report.gateway, report.incarnation, report.seq, item, now
             )
             gateways = set() if report.spare else {report.gateway}
-            if is_less and not report.spare:
-                gateways.update(ledger.unheard(now, 0.0))
+            if has_dropped and not report.spare:
+                gateways.update(ledger.gateways_without_report(now, 0.0))
             for gateway in gateways:
                 levels[gateway].append(ledger.level(gateway, item.workspace))
         return self._notices(levels)
 
     def ask(self, ask: QuotaAsk, now: float) -> tuple[QuotaVerdict, Notices] | None:
-        """Decide; also the notices to other gateways.  None without a quota."""
+        """Return the verdict and notices to other gateways, None without a quota."""
         workspace = ask.spent.workspace
         ledger = self._ledger(workspace, now)
         if ledger is None:
             return None
-        was_less = ledger.low, ledger.short
-        found = ledger.ask(ask, now)
+        before = ledger.low, ledger.short
+        decision = ledger.ask(ask, now)
         level = ledger.level(ask.gateway, workspace)
         verdict = QuotaVerdict(
             self._name,
             ask.seq,
-            found.granted,
-            found.after_s,
+            decision.granted,
+            decision.after_s,
             level,
-            young=ledger.is_young(now),
+            young=ledger.is_recently_started(now),
         )
         levels: defaultdict[str, list[Level]] = defaultdict(list)
-        if (ledger.low, ledger.short) > was_less:
-            for gateway in ledger.unheard(now, 0.0):
+        if (ledger.low, ledger.short) > before:
+            for gateway in ledger.gateways_without_report(now, 0.0):
                 levels[gateway].append(ledger.level(gateway, workspace))
         return verdict, self._notices(levels)
 
     def remind(self, now: float) -> Notices:
-        """Notices to repeat; forgets ledgers that nobody uses."""
+        """Return the notices to repeat; drop ledgers that are not used."""
         levels: defaultdict[str, list[Level]] = defaultdict(list)
         quotas = self._quotas()
         for workspace, ledger in list(self._ledgers.items()):
-            if workspace not in quotas or ledger.used_at < now - FORGET_S:
+            if workspace not in quotas or ledger.used_at < now - LEDGER_RETENTION_S:
                 del self._ledgers[workspace]
                 continue
             ledger.declare(quotas[workspace], now)
             if ledger.short:
-                for gateway in ledger.unheard(now, REMIND_S):
+                for gateway in ledger.gateways_without_report(now, REMINDER_INTERVAL_S):
                     levels[gateway].append(ledger.level(gateway, workspace))
         return self._notices(levels)
 
@@ -99,8 +103,8 @@
         ledger = self._ledgers.get(workspace)
         if ledger is None:
             filled = (now - self._started_at) * quota.per_s
-            young = filled < quota.capacity
-            ledger = Ledger(quota, filled, now, young=young)
+            recently_started = filled < quota.capacity
+            ledger = Ledger(quota, filled, now, recently_started=recently_started)
             self._ledgers[workspace] = ledger
         ledger.declare(quota, now)
         return ledger
--- a/gooseberrydale/version/quotas/messages.py
+++ b/gooseberrydale/version/quotas/messages.py
@@ -1,9 +1,9 @@
 """Messages about quotas between gateways.
 
-A gateway reports what it has spent to the owner of a workspace, and asks the owner
-before it spends once little is left.  ``spent`` counts from the start of the sending
-process, so that a message that is lost or comes twice does no harm.  They go without
-field names on the wire, as there are many of them; new fields are added at the end.
+A gateway reports what it has spent to the owner of a workspace's quota.  Once little is
+left, it asks the owner before it spends.  ``spent`` is the total since the sending
+process started, so a lost or repeated message does no harm.  Messages are frequent and
+are encoded without field names; new fields are added at the end.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 class Spent(msgspec.Struct, frozen=True, array_like=True):
-    """What a gateway has spent for one workspace; ``recent`` in the last seconds."""
+    """What a gateway has spent for one workspace, in total and in the last seconds."""
 
     workspace: str
     spent: int
@@ -22,11 +22,12 @@
 
 
 class Level(msgspec.Struct, frozen=True, array_like=True):
-    """What is left of one workspace's quota, by its owner's count.
+    """What is left of one workspace's quota, as counted by its owner.
 
-    It includes ``spent`` of the gateway that gets it.  While ``low``, requests are
-    granted by the owner alone; while ``short``, gateways report without being asked, as
-    they may be refused.  ``share`` is the gateway's part of what was spent.
+    ``spent`` is the amount spent by the receiving gateway that ``left`` accounts for.
+    While ``low``, gateways must ask the owner before each request.  While ``short``,
+    requests may be refused, and gateways report even if they have spent nothing.
+    ``share`` is the receiving gateway's fraction of recent spending.
     """
 
     workspace: str
@@ -41,7 +42,7 @@
 class QuotaReport(msgspec.Struct, frozen=True, array_like=True):
     """What ``gateway`` has spent; ``seq`` rises within one ``incarnation``.
 
-    A ``spare`` owner need not answer.
+    ``spare`` marks a report to the fallback owner, which need not answer.
     """
 
     gateway: str
@@ -53,7 +54,7 @@
 
 @message
 class QuotaLevels(msgspec.Struct, frozen=True, array_like=True):
-    """An owner's answer to a report, or the notice that a quota is low or short."""
+    """An owner's answer to a report, or its notice that quotas are low or short."""
 
     owner: str
     items: tuple[Level, ...]
@@ -61,10 +62,11 @@
 
 @message
 class QuotaAsk(msgspec.Struct, frozen=True, array_like=True):
-    """Whether ``cost`` may be spent; ``spent`` doesn't include it.
+    """Asks the owner whether ``cost`` may be spent; ``spent`` does not include it.
 
-    ``rank`` is the request's, 0 first; ``request`` names it, the same for each repeat.
-    Its caller would wait ``patience_s`` at most before it returns.
+    ``rank`` is the request's priority, 0 being the highest.  ``request`` identifies the
+    request and stays the same in retries.  ``patience_s`` is the longest time that its
+    caller would wait before a retry.
     """
 
     gateway: str
@@ -79,15 +81,16 @@
 
 @message
 class QuotaTaken(msgspec.Struct, frozen=True, array_like=True):
-    """A message has arrived; for transports that answer each."""
+    """Confirms the receipt of a message, on transports that answer each message."""
 
 
 @message
 class QuotaVerdict(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to the ask ``seq``; ``after_s`` is set if it is refused.
+    """The answer to the :class:`QuotaAsk` with the same ``seq``.
 
-    An owner is ``young`` that has just begun to count: the other one may know of more
-    that is left.
+    ``after_s`` is the time until a retry may be granted, if the request is refused.
+    ``young`` is True if the owner has recently started to count, in which case the
+    other owner may have recorded more that is left.
     """
 
     owner: str
--- a/gooseberrydale/version/quotas/owners.py
+++ b/gooseberrydale/version/quotas/owners.py
@@ -1,9 +1,10 @@
-"""Which gateways own the count of a workspace.  Pure.
+"""Selects the gateways that own the count of a workspace's quota.
 
-Every gateway finds the same two by rendezvous hashing: one decides, the other takes its
-place while it doesn't answer.  A gateway that is no longer announced stays an owner for
-some time: no third one may take over that has counted nothing, as long as others may
-still reach the first two.
+All gateways select the same two by rendezvous hashing: the first decides, the second is
+the fallback while the first does not answer.  A gateway that is no longer announced
+stays an owner for some time.  Otherwise a third gateway, which has counted nothing,
+could take over while other gateways still reach the first two.  This module does no
+I/O.
 """
 
 from __future__ import annotations
@@ -13,14 +14,15 @@
 from gooseberrydale.version.gateway_peers import GatewayPeer, wide_links
 from gooseberrydale.version.stores import first_by_hash
 
-KEPT_S = 30.0
-"""Longer than a lease and the quota's window together."""
+RETENTION_S = 30.0
+"""Time for which a gateway is kept after its last announcement; longer than a lease and
+the quota's window together."""
 
 OWNERS = 2
 
 
 class Owners:
-    """The gateways seen of late, and those of them that own a workspace's count."""
+    """The recently announced gateways, and which of them own a workspace's count."""
 
     def __init__(self) -> None:
         self._seen: dict[str, tuple[GatewayPeer, float]] = {}
@@ -31,17 +33,17 @@
         return len(self._seen)
 
     def peer(self, name: str) -> GatewayPeer | None:
-        """The gateway of that name, if it was seen of late."""
-        found = self._seen.get(name)
-        return None if found is None else found[0]
+        """Return the gateway of that name, None if it was not announced recently."""
+        entry = self._seen.get(name)
+        return None if entry is None else entry[0]
 
     def update(self, fleet: Iterable[GatewayPeer], now: float) -> None:
-        """These gateways are announced now."""
+        """Record the gateways that are announced now; drop those that expired."""
         known = {name: peer for name, (peer, _) in self._seen.items()}
         for peer in fleet:
             self._seen[peer.name] = peer, now
         for name, (_, at) in list(self._seen.items()):
-            if at < now - KEPT_S:
+            if at < now - RETENTION_S:
                 del self._seen[name]
         if known != {name: peer for name, (peer, _) in self._seen.items()}:
             links = {name: peer.link_mbps for name, (peer, _) in self._seen.items()}
@@ -49,9 +51,11 @@
             self._owners.clear()
 
     def of(self, workspace: str) -> tuple[GatewayPeer, ...]:
-        """The owners of one workspace, the one that decides first."""
-        found = self._owners.get(workspace)
-        if found is None:
-            order = first_by_hash(self._names, workspace)[:OWNERS]
-            found = self._owners[workspace] = tuple(self._seen[one][0] for one in order)
-        return found
+        """Return the owners of a workspace: the one that decides, then the fallback."""
+        owners = self._owners.get(workspace)
+        if owners is None:
+            names = first_by_hash(self._names, workspace)[:OWNERS]
+            owners = self._owners[workspace] = tuple(
+                self._seen[name][0] for name in names
+            )
+        return owners
--- a/gooseberrydale/version/quotas/quota.py
+++ b/gooseberrydale/version/quotas/quota.py
@@ -1,4 +1,4 @@
-"""What operators allow a workspace to use, and what one request counts.  Pure."""
+"""The quota of a workspace, and how much of it one request uses."""
 
 from __future__ import annotations
 
@@ -9,16 +9,17 @@
 
 from gooseberrydale.connection.codec import message
 
-MOST_PER_S = float(2**53)
-"""Larger figures can't be counted one by one."""
+MAX_QUOTA_VALUE = float(2**53)
+"""Largest value of a quota; above it a float can't represent every integer."""
 
 
-LEAST_BURST_S = 0.1
-"""A bucket holds what comes in this time at least, or nothing could be granted."""
+MIN_BURST_S = 0.1
+"""Minimum capacity of a bucket, as the time in which it fills.  With no capacity no
+request could be granted."""
 
 
 class QuotaUnit(StrEnum):
-    """What a quota counts."""
+    """The unit in which a quota is counted."""
 
     REQUESTS = "requests"
     TOKENS = "tokens"
@@ -27,11 +28,11 @@
 @message
 @dataclass(frozen=True, slots=True)
 class Quota:
-    """A token bucket for all requests of a workspace at all gateways together.
+    """A token bucket for the requests of a workspace at all gateways together.
 
-    It fills with ``per_s`` a second up to ``burst``.  A request counts 1, or its prompt
-    tokens and those it may generate; one that doesn't say how many counts
-    ``plain_tokens``.
+    It gains ``per_s`` units a second, up to ``burst``.  In requests, each request costs
+    1.  In tokens, it costs its prompt tokens and those that it may generate, or
+    ``plain_tokens`` if it does not name a number.
     """
 
     per_s: float
@@ -41,11 +42,11 @@
 
     @property
     def capacity(self) -> float:
-        """What the bucket holds when it is full; enough to grant without a burst."""
-        return max(self.burst, LEAST_BURST_S * self.per_s)
+        """Size of the bucket, large enough to grant requests with a ``burst`` of 0."""
+        return max(self.burst, MIN_BURST_S * self.per_s)
 
     def cost(self, tokens: int | None) -> int:
-        """What a request counts that names ``tokens``, or None if it names none."""
+        """Return the cost of a request; ``tokens`` is None if it names no number."""
         if self.unit is QuotaUnit.REQUESTS:
             return 1
         return self.plain_tokens if tokens is None else tokens
@@ -55,12 +56,12 @@
 
 
 def quota_faults(quota: Quota) -> Iterator[tuple[str, float]]:
-    """Yield the fields of a quota with a value that can't be counted."""
+    """Yield the name and value of each field that is out of range."""
     fields = {
         "per_s": quota.per_s,
         "burst": quota.burst,
         "plain_tokens": quota.plain_tokens,
     }
     for name, value in fields.items():
-        if not math.isfinite(value) or not 0 <= value <= MOST_PER_S:
+        if not math.isfinite(value) or not 0 <= value <= MAX_QUOTA_VALUE:
             yield name, value
--- a/gooseberrydale/version/run_times.py
+++ b/gooseberrydale/version/run_times.py
@@ -1,14 +1,15 @@
-"""How long requests of each route go on after their first event, as observed.
+"""Mean time that requests of each route run after their first event.
 
-Lives as long as the process; pure.
+One object per process; no I/O.
 """
 
 from __future__ import annotations
 
 SMOOTHING = 0.05
-"""Weight of the newest run: about the last twenty count, a second of a busy route."""
+"""Weight of the newest run; roughly the last twenty runs count, about a second of a
+busy route."""
 
-KEPT_ROUTES = 4_096
+MAX_ROUTES = 4_096
 
 
 class RunTimes:
@@ -18,14 +19,14 @@
         self._mean_s: dict[str, float] = {}
 
     def ended(self, route: str, run_s: float) -> None:
-        """A request of ``route`` has come to its end after ``run_s``."""
+        """Record a request of ``route`` that ended ``run_s`` after its first event."""
         known = self._mean_s.get(route)
         if known is None:
-            if len(self._mean_s) < KEPT_ROUTES:
+            if len(self._mean_s) < MAX_ROUTES:
                 self._mean_s[route] = run_s
             return
         self._mean_s[route] = known + SMOOTHING * (run_s - known)
 
     def expected_s(self, route: str) -> float:
-        """How long a request of ``route`` will likely go on; 0 if none has ended."""
+        """Return the expected run time of a request, 0 if none of ``route`` ended."""
         return self._mean_s.get(route, 0.0)
--- a/gooseberrydale/version/session_targets.py
+++ b/gooseberrydale/version/session_targets.py
@@ -1,8 +1,8 @@
-"""Which entries a process opens mesh sessions to.
+"""Selects the entries that a process opens mesh sessions to.
 
-Pure, and the same for the same input, so a restarted process comes back to the
-entries that it had.  Rendezvous hashing spreads the sessions evenly and moves few
-of them when entries come or go.
+The result depends only on the arguments, so a restarted process selects the same
+entries again.  Rendezvous hashing spreads the sessions evenly and moves few of them
+when entries are added or removed.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 def session_targets(
     name: str, zone: str, entries: Iterable[EntryPoint], bound: int
 ) -> tuple[str, ...]:
-    """Addresses of at most ``bound`` entries for the process ``name`` in ``zone``.
+    """Return at most ``bound`` addresses for the process ``name`` in ``zone``.
 
-    Entries of the own zone come first, but the last place is kept for another
-    zone, so that the loss of one zone does not cut the process off.
+    Entries of the process's own zone are preferred, but the last slot is reserved for
+    another zone: the loss of one zone must not cut the process off.
     """
     ranked = sorted(set(entries), key=lambda entry: _weight(name, entry), reverse=True)
     near = [entry.address for entry in ranked if entry.zone == zone]
--- a/gooseberrydale/version/silence.py
+++ b/gooseberrydale/version/silence.py
@@ -1,10 +1,9 @@
-"""Whether an upstream has fallen silent, as one process sees it.  Pure.
+"""Decides when to probe an upstream that sends nothing, and when it counts as dead.
 
-Lives as long as one incarnation of the upstream.  Silence alone says little: a busy
-upstream may have nothing to say for a while.  It is a reason to ask for a connection,
-which the kernel of any live machine grants; two questions in vain are a reason to take
-the upstream for dead.
-"""
+One object per incarnation of an upstream and process; no I/O.  Silence alone proves
+little, as a busy upstream may send nothing for a while.  After some silence the
+upstream is probed with a new connection, which the kernel of any running machine
+accepts.  After two failed probes in a row the upstream is considered dead."""
 
 from __future__ import annotations
 
@@ -12,110 +11,121 @@
 from collections.abc import Callable
 
 SILENT_S = 0.5
-"""Streams bring an event each 30 to 60 ms, first events come within 50 to 250.  Where
-a gateway has one request at an upstream, one that waits for long looks the same."""
+"""Silence after which an upstream is probed.  Streams send an event every 30 to 60 ms,
+and first events come within 50 to 250 ms.  Where a gateway has a single request at an
+upstream, a request that is queued there for long looks the same."""
 
-ASK_PAUSE_S = 0.3
-MOST_PAUSE_S = 4.8
-"""Between two questions to a live but silent upstream, doubled by each that it answers
-up to the other: with 26 gateways before 22 engines that all let requests wait for two
-seconds, it is some 20 connections a second at each gateway in place of 70."""
+PROBE_INTERVAL_S = 0.3
+MAX_PROBE_INTERVAL_S = 4.8
+"""Time between two probes of a silent upstream: the first value at first, doubled after
+each successful probe up to the second.  With 26 gateways and 22 engines that all let
+requests wait for two seconds, each gateway opens some 20 connections a second instead
+of 70."""
 
-ASK_AHEAD_S = 0.35
-"""How long before the end of its pause an upstream left alone is asked: as long as a
-question takes at most, so that no request is needed to find out."""
+PROBE_LEAD_S = 0.35
+"""How long before the end of its backoff an upstream is probed: the longest time that a
+probe takes.  No request is then risked to find out whether the upstream is back."""
 
-IN_VAIN = 2
-"""Questions in vain before an upstream is taken for dead: at a loss of three packets in
-a hundred, one in thirty fails by chance, two in a row one in a thousand."""
+MAX_FAILED_PROBES = 2
+"""Consecutive failed probes after which an upstream is considered dead.  At 3 % packet
+loss one probe in thirty fails by chance, but only one in a thousand pairs."""
 
-TRUSTED_S = 1.0
-"""What others say of an upstream is not believed for this long after it has answered
-here: the way between may be cut for them alone."""
+OWN_PROBE_TRUST_S = 1.0
+"""Time after a successful probe during which reports by other processes that the
+upstream is dead are ignored: only their network path to it may be cut."""
 
 Abort = Callable[[], None]
 
 
 class Silence:
-    """What came from an upstream when, and what waits there."""
+    """When an upstream last sent bytes, and which requests wait for it.
+
+    Times are seconds of the event loop's clock.
+    """
 
     def __init__(self) -> None:
         self._open = 0
         self._since = -math.inf
-        self._asked_at = -math.inf
+        self._probed_at = -math.inf
         self._reached_at = -math.inf
-        self._in_vain = 0
-        self._pause_s = ASK_PAUSE_S
-        self._doubted = False
+        self._failed_probes = 0
+        self._interval_s = PROBE_INTERVAL_S
+        self._reported_dead = False
         self._aborts: set[Abort] = set()
 
     def opened(self, now: float) -> None:
-        """A request was sent."""
+        """Record that a request was sent."""
         if not self._open:
             self._since = now
         self._open += 1
 
     def closed(self) -> None:
-        """A request has ended."""
+        """Record that a request has ended."""
         self._open -= 1
 
     def heard(self, now: float) -> None:
-        """Bytes came."""
+        """Record that bytes arrived."""
         self._since = now
-        self._in_vain = 0
-        self._pause_s = ASK_PAUSE_S
+        self._failed_probes = 0
+        self._interval_s = PROBE_INTERVAL_S
 
     def watch(self, abort: Abort) -> None:
-        """Call ``abort`` if the upstream is taken for dead."""
+        """Register ``abort``, to be called if the upstream is considered dead."""
         self._aborts.add(abort)
 
     def unwatch(self, abort: Abort) -> None:
-        """Its request has ended."""
+        """Remove ``abort``, as its request has ended."""
         self._aborts.discard(abort)
 
     def doubt(self, now: float) -> bool:
-        """Another process takes the upstream for dead; say whether that is news."""
-        if now < self._reached_at + TRUSTED_S:
+        """Record that another process considers the upstream dead.
+
+        Return False if that is ignored, as a probe of this process just succeeded.
+        """
+        if now < self._reached_at + OWN_PROBE_TRUST_S:
             return False
-        self._doubted = True
+        self._reported_dead = True
         return True
 
     def silent_s(self, now: float) -> float:
-        """For how long nothing came while requests were open."""
+        """Return for how long no bytes came while requests were open."""
         return now - self._since if self._open > 0 else 0.0
 
     def is_doubtful(self, now: float, alone_until: float) -> bool:
-        """Whether to ask the upstream now; it is left alone until ``alone_until``."""
-        if now < self._asked_at + self._pause_s:
+        """Return whether to probe the upstream now, and if so, record the probe.
+
+        ``alone_until`` is the end of the time for which the upstream is avoided.
+        """
+        if now < self._probed_at + self._interval_s:
             return False
         if alone_until > now:
-            due = now >= alone_until - ASK_AHEAD_S
+            due = now >= alone_until - PROBE_LEAD_S
         else:
-            due = self._doubted or self.silent_s(now) >= SILENT_S
+            due = self._reported_dead or self.silent_s(now) >= SILENT_S
         if due:
-            self._asked_at = now
+            self._probed_at = now
         return due
 
     def reached(self, now: float) -> None:
-        """The upstream has answered a question."""
+        """Record that a probe succeeded."""
         self._reached_at = now
-        self._in_vain = 0
-        self._pause_s = min(MOST_PAUSE_S, 2 * self._pause_s)
-        self._doubted = False
+        self._failed_probes = 0
+        self._interval_s = min(MAX_PROBE_INTERVAL_S, 2 * self._interval_s)
+        self._reported_dead = False
 
     def unanswered(self, now: float) -> bool:
-        """A question was in vain; say whether the upstream is taken for dead."""
-        self._in_vain += 1
-        # The next question follows at once.
-        self._asked_at = -math.inf
-        self._pause_s = ASK_PAUSE_S
-        if self._in_vain < IN_VAIN:
+        """Record that a probe failed; return whether the upstream is now dead."""
+        self._failed_probes += 1
+        # Allow the next probe immediately.
+        self._probed_at = -math.inf
+        self._interval_s = PROBE_INTERVAL_S
+        if self._failed_probes < MAX_FAILED_PROBES:
             return False
-        self._doubted = False
+        self._reported_dead = False
         return True
 
     def give_up(self) -> int:
-        """Abort what may go on elsewhere; return how many requests that were."""
+        """Call all registered aborts; return their number."""
         aborts, self._aborts = self._aborts, set()
         for abort in aborts:
             abort()
--- a/gooseberrydale/version/store_followers.py
+++ b/gooseberrydale/version/store_followers.py
@@ -1,7 +1,8 @@
-"""Which gateways follow a store of KV cache themselves, and what they tell the others.
+"""Selects the gateways that follow a KV cache store and relay its events to the others.
 
-A store lets a few callers wait for its events.  A small deployment's gateways all do;
-in a larger one two of them follow each store and pass its events on.  Pure.
+A store serves its events to a limited number of callers by long polling.  In a small
+deployment all gateways follow every store.  In a larger one two gateways follow each
+store and relay its events to the others.  This module does no I/O.
 """
 
 from __future__ import annotations
@@ -16,34 +17,36 @@
 from gooseberrydale.version.stores import first_by_hash
 
 ALL_FOLLOW = 8
-"""Up to this many gateways each follow every store.  Stores take twelve calls; four
-are left to gateways whose view of the others lags."""
+"""Number of gateways up to which each follows every store.  Stores accept twelve calls
+at a time; four are left for gateways with an outdated view of the fleet."""
 
 RELAYS = 2
-"""Gateways that follow a store for all others in a larger deployment; one may die."""
+"""Gateways that follow a store for all others in a larger deployment; one of them may
+fail."""
 
 RELAY_SILENT_S = 3.0
-"""Relays tell each second at least; after this without a word they are gone."""
+"""Time without a message after which relays count as failed; they send one at least
+every second."""
 
-EVENTS_A_DATAGRAM = 30
-"""Events of some 35 bytes each, so that a datagram stays below 1,400 bytes."""
+MAX_EVENTS_PER_DATAGRAM = 30
+"""Events of some 35 bytes each that fit in a datagram of less than 1,400 bytes."""
 
 
 class Part(Enum):
-    """What a gateway does about one store."""
+    """How a gateway gets the events of one store."""
 
     FOLLOW = auto()
-    """Follows it for itself."""
+    """Follows the store for itself only."""
     RELAY = auto()
-    """Follows it and passes its events on."""
+    """Follows the store and relays its events."""
     LISTEN = auto()
-    """Hears of it from the gateways that follow."""
+    """Receives the store's events from the relays."""
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class StoreTidings:
-    """What a gateway that follows a store passes on; ``up`` is whether it answers."""
+    """Events of a store that a relay sends; ``up`` is whether the store answers."""
 
     address: str
     incarnation: str
@@ -52,9 +55,9 @@
 
 
 def part_of(own: str, links: Mapping[str, float], address: str) -> Part:
-    """The part of gateway ``own`` among all for the store at ``address``.
+    """Return the role of the gateway ``own`` for the store at ``address``.
 
-    ``links`` has each gateway's link in Mbit/s, 0 if not known.
+    ``links`` has the width of each gateway's network link in Mbit/s, 0 if not known.
     """
     if len(links) <= ALL_FOLLOW:
         return Part.FOLLOW
@@ -62,20 +65,21 @@
 
 
 def lane_of(own: str, links: Mapping[str, float], address: str) -> int | None:
-    """Which of the relays of the store gateway ``own`` is; None if it is none."""
+    """Return the index of the gateway ``own`` among the store's relays, None if it is
+    not one."""
     wide = wide_links(links)
-    first = first_by_hash(wide if len(wide) >= RELAYS else links, address)[:RELAYS]
-    return first.index(own) if own in first else None
+    relays = first_by_hash(wide if len(wide) >= RELAYS else links, address)[:RELAYS]
+    return relays.index(own) if own in relays else None
 
 
 def tidings(
     address: str, incarnation: str, events: tuple[StoreEvent, ...], *, up: bool
 ) -> list[StoreTidings]:
-    """What to pass on, in messages that fit a datagram; one at least."""
-    starts = range(0, max(1, len(events)), EVENTS_A_DATAGRAM)
+    """Split events into messages that fit a datagram each; at least one message."""
+    starts = range(0, max(1, len(events)), MAX_EVENTS_PER_DATAGRAM)
     return [
         StoreTidings(
-            address, incarnation, events[start : start + EVENTS_A_DATAGRAM], up
+            address, incarnation, events[start : start + MAX_EVENTS_PER_DATAGRAM], up
         )
         for start in starts
     ]
--- a/gooseberrydale/version/store_view.py
+++ b/gooseberrydale/version/store_view.py
@@ -1,8 +1,8 @@
-"""Which parts of prompts a store of KV cache holds, as its events tell.
+"""View of the prompt parts in a KV cache store, built from the store's events.
 
-Lives as long as one incarnation of the store; pure.  Events come late, and a few never;
-a part that is wrongly taken to be there costs a failed look, one that is wrongly taken
-to be missing is saved once more.
+One object per store; no I/O.  The contents are reset when the store restarts.  Events
+arrive late, and a few are lost.  A part that the view lists wrongly costs a failed
+lookup; a part that it misses is saved once more.
 """
 
 from __future__ import annotations
@@ -16,7 +16,10 @@
 
 
 class StoreEvent(msgspec.Struct, frozen=True, array_like=True):
-    """A part under a salt has now ``tokens`` in the store, 0 if it was dropped."""
+    """The store now has ``tokens`` of the part ``key`` under a cache salt.
+
+    0 if the part was dropped.
+    """
 
     salt: str
     key: str
@@ -27,8 +30,8 @@
 class StoreNews:
     """Events of one incarnation of a store.
 
-    ``missed`` says that some before were lost, ``whole`` that they are all that it
-    holds.
+    ``missed`` is True if earlier events were lost, ``whole`` if ``events`` list all
+    parts in the store.
     """
 
     incarnation: str
@@ -38,7 +41,7 @@
 
 
 class StoreView:
-    """The parts in one store; ``up`` is whether it answers."""
+    """The prompt parts in one store; ``up`` is whether the store answers."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -46,21 +49,21 @@
         self._incarnation = ""
         self._tokens: dict[tuple[str, str], int] = {}
 
-    def take(self, news: StoreNews) -> None:
-        """Take news in; another incarnation of the store begins with nothing."""
+    def take(self, update: StoreNews) -> None:
+        """Apply events; drop all parts first if the store has restarted."""
         self.up = True
-        if news.whole or news.incarnation != self._incarnation:
-            self._incarnation = news.incarnation
+        if update.whole or update.incarnation != self._incarnation:
+            self._incarnation = update.incarnation
             self._tokens.clear()
-        for event in news.events:
+        for event in update.events:
             self._apply(event)
 
     def lost(self) -> None:
-        """The store does not answer."""
+        """Record that the store does not answer."""
         self.up = False
 
     def held_tokens(self, salt: str, parts: Iterable[PromptPart]) -> int:
-        """Tokens at the beginning of a prompt that the store holds, by whole parts."""
+        """Return the tokens of the leading parts of a prompt that the store holds."""
         held = 0
         if not self.up:
             return held
@@ -71,11 +74,11 @@
         return held
 
     def holds(self, salt: str, parts: Sequence[PromptPart]) -> bool:
-        """Whether the store is there and holds all of the parts."""
+        """Return whether the store answers and holds all of the parts."""
         return self.up and not self.lacks(salt, parts)
 
     def lacks(self, salt: str, parts: Sequence[PromptPart]) -> bool:
-        """Whether the store is there and lacks one of the parts."""
+        """Return whether the store answers and lacks one of the parts."""
         wanted = sum(part.tokens for part in parts)
         return self.up and wanted > 0 and self.held_tokens(salt, parts) < wanted
 
--- a/gooseberrydale/version/stores.py
+++ b/gooseberrydale/version/stores.py
@@ -1,8 +1,8 @@
-"""The views of all declared stores of KV cache, and which of them keeps a prefix.
+"""Views of all declared KV cache stores, and the selection of the store for a prefix.
 
-Lives as long as the process; pure.  A prefix belongs to one store, which every gateway
-finds by the same hash, so that the stores share its bytes and nothing is kept twice.
-While that store is away the next one takes its place.
+One object per process; no I/O.  All gateways select the same store for a prefix by
+rendezvous hashing, which divides the prefixes among the stores and stores none of them
+twice.  While that store does not answer, the next one in hash order is used.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 def first_by_hash(names: Collection[str], key: str) -> list[str]:
-    """``names`` in the order that everybody finds for ``key``."""
+    """Return ``names`` in rendezvous hash order for ``key``, the same everywhere."""
     return sorted(names, key=lambda name: _digest(f"{name}|{key}"))
 
 
@@ -27,22 +27,22 @@
 
     @property
     def addresses(self) -> Collection[str]:
-        """The stores that are declared."""
+        """Addresses of the declared stores."""
         return self._views.keys()
 
     def declare(self, addresses: Collection[str]) -> None:
-        """These stores are declared now; views of others are forgotten."""
+        """Set the declared stores; the views of all others are dropped."""
         self._views = {
             address: self._views.get(address) or StoreView(address)
             for address in addresses
         }
 
     def view(self, address: str) -> StoreView | None:
-        """The view of one store, if it is declared."""
+        """Return the view of one store, None if it is not declared."""
         return self._views.get(address)
 
     def of(self, parts: Sequence[PromptPart]) -> StoreView | None:
-        """The store that keeps the prefix of ``parts``; None if none answers."""
+        """Return the store for the prefix of ``parts``, None if no store answers."""
         up = [name for name, view in self._views.items() if view.up]
         if not parts or not up:
             return None
--- a/gooseberrydale/version/upstream_incarnation.py
+++ b/gooseberrydale/version/upstream_incarnation.py
@@ -1,53 +1,53 @@
-"""Names the incarnations of an upstream that announces itself, in the order in which
-they ran.
-
-An upstream may start again under the name that it had; it then knows nothing of before.
-An incarnation is named by the moment of its start, on the upstream's own clock.  Such a
-clock may have been set back, so that a later incarnation bears an earlier moment.  Only
-the upstream itself can tell then which incarnation is the later one, and that
-incarnation gets a higher turn.
+"""Names for the incarnations of an upstream, which sort in the order they ran.
+
+An upstream that restarts keeps its name but loses its state; each run of it is an
+incarnation.  An incarnation is identified by its start time on the upstream's own
+clock.  If that clock was set back, a later incarnation has an earlier start time.  Only
+the upstream itself can then say which incarnation is the later one; its name gets a
+higher epoch.
 """
 
 from __future__ import annotations
 
-_TURN_DIGITS = 4
+_EPOCH_DIGITS = 4
 _BORN_DIGITS = 16
 
 
-def incarnation_name(born_ms: int | None, turn: int = 0) -> str:
-    """Name of the incarnation that began at ``born_ms``, in Unix milliseconds.
+def incarnation_name(born_ms: int | None, epoch: int = 0) -> str:
+    """Return the name of the incarnation that started at ``born_ms`` (Unix time).
 
-    Names sort by turn, then by moment.  An upstream that tells no moment has one
-    incarnation.
+    Names sort by epoch, then by start time.  An upstream that reports no start time
+    has a single incarnation, named by the empty string.
     """
     if born_ms is None:
         return ""
-    return f"{turn:0{_TURN_DIGITS}x}{born_ms:0{_BORN_DIGITS}x}"
+    return f"{epoch:0{_EPOCH_DIGITS}x}{born_ms:0{_BORN_DIGITS}x}"
 
 
 def born_ms(incarnation: str) -> int | None:
-    """The moment in the name of an incarnation."""
-    return int(incarnation[_TURN_DIGITS:], 16) if incarnation else None
+    """Return the start time in the name of an incarnation, in Unix milliseconds."""
+    return int(incarnation[_EPOCH_DIGITS:], 16) if incarnation else None
 
 
 def incarnation_after(known: str, born: int | None) -> str:
-    """Name of the incarnation that began at ``born`` and runs now, where ``known``
-    ran."""
+    """Return the name of the incarnation that started at ``born`` and runs now.
+
+    ``known`` is the newest incarnation recorded before.
+    """
     if born == born_ms(known):
         return known
-    turn = int(known[:_TURN_DIGITS], 16) if known else 0
-    plain = incarnation_name(born, turn)
-    return plain if plain > known else incarnation_name(born, turn + 1)
+    epoch = int(known[:_EPOCH_DIGITS], 16) if known else 0
+    same_epoch = incarnation_name(born, epoch)
+    return same_epoch if same_epoch > known else incarnation_name(born, epoch + 1)
 
 
 def incarnation_told(known: str, born: int | None) -> str | None:
-    """The incarnation that an announcement of ``born`` belongs to; None if an earlier
-    one.
+    """Return the incarnation that announces the start time ``born``.
 
-    ``known`` is the newest incarnation heard of, which an announcement alone can't
-    overrule.
+    None if it started before ``known``, the newest incarnation recorded: an
+    announcement may be late, so it can't show that the clock was set back.
     """
     if not known or born == born_ms(known):
         return known or incarnation_name(born)
     later = incarnation_after(known, born)
-    return later if later[:_TURN_DIGITS] == known[:_TURN_DIGITS] else None
+    return later if later[:_EPOCH_DIGITS] == known[:_EPOCH_DIGITS] else None
--- a/gooseberrydale/version/upstream_load.py
+++ b/gooseberrydale/version/upstream_load.py
@@ -1,7 +1,7 @@
-"""What one entry knows of the load and the faults of one incarnation of an upstream.
+"""Load and failures of one incarnation of an upstream, as one entry sees them.
 
-Lives as long as that incarnation; pure.  The entry's own work is known exactly, the
-work of others from what the upstream tells with its answers, which ages quickly.
+One object per incarnation; no I/O.  The entry counts its own work exactly.  The work of
+other entries comes from reports in the upstream's answers, which age quickly.
 """
 
 from __future__ import annotations
@@ -15,23 +15,26 @@
 from gooseberrydale.version.silence import Silence
 
 REPORT_HALF_LIFE_S = 0.25
-"""Half of the reported work of others has ended after this: about the time of a run."""
+"""Time after which half of the reported work of others is assumed to have ended; about
+the duration of a run."""
 
-SUSPECT_FIRST_S = 0.5
+SUSPECT_MIN_S = 0.5
 SUSPECT_MAX_S = 6.0
-"""After a failure to connect an upstream is left alone for the first time, doubled by
-each further one up to the other: a restart takes one to some seconds."""
+"""Time for which an upstream is avoided after it could not be reached: the first value
+at first, doubled by each further failure up to the second.  A restart takes one to
+some seconds."""
 
-LEAVING_KEPT_S = 60.0
-"""An upstream that leaves has ended within this time."""
+LEAVING_RETENTION_S = 60.0
+"""Time within which an upstream that announced that it is leaving has ended."""
 
 ERROR_SMOOTHING = 0.15
-"""Weight of the newest answer in the share of failures; about the last seven count."""
+"""Weight of the newest answer in the error rate; roughly the last seven answers
+count."""
 
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """Work at an upstream: requests, tokens of prompts not yet computed, of memory."""
+    """Work at an upstream: requests, prompt tokens still to compute, memory tokens."""
 
     requests: float
     prefill_tokens: float
@@ -40,17 +43,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """One request at an upstream, in tokens; all 0 at a plain service."""
+    """Work of one request at an upstream, in tokens; all 0 at a plain service."""
 
     prefill_tokens: int = 0
     kv_tokens: int = 0
 
 
 class UpstreamLoad:
-    """The load and the faults of one incarnation of an upstream.
+    """The load and the failures of one incarnation of an upstream.
 
-    Times are seconds of the loop; ``incarnation`` is its incarnation, empty if it told
-    none.
+    Times are seconds of the event loop's clock.  ``incarnation`` is empty if the
+    upstream does not report one.
     """
 
     def __init__(self, incarnation: str = "") -> None:
@@ -71,101 +74,113 @@
         self.runs = OpenRuns()
 
     def began(self, work: Work) -> None:
-        """A request was sent."""
+        """Record that a request was sent."""
         self._requests += 1
         self._prefill_tokens += work.prefill_tokens
         self._kv_tokens += work.kv_tokens
 
     def first_part(self, work: Work) -> None:
-        """The prompt of a request is computed."""
+        """Record that the first bytes of an answer came: its prompt is computed."""
         self._prefill_tokens -= work.prefill_tokens
 
     def ended(self, work: Work, *, prefilled: bool) -> None:
-        """A request has ended; ``prefilled`` if its first part had come."""
+        """Record that a request has ended, ``prefilled`` if its answer had begun."""
         self._requests -= 1
         self._kv_tokens -= work.kv_tokens
         if not prefilled:
             self._prefill_tokens -= work.prefill_tokens
 
     def reported(self, load: ReportedLoad, now: float) -> None:
-        """The upstream tells its load with an answer."""
-        # The own requests are among those reported.
+        """Record the load that the upstream reports in an answer."""
+        # The report includes this entry's own requests.
         self._others = max(0.0, load.running + load.waiting - self._requests)
         self._reported_at = now
 
     def answered(self, *, failed: bool) -> int:
-        """The upstream gave an answer of its own; so it is there.
+        """Record an answer of the upstream itself, which shows that it is running.
 
-        Returns how often in a row it had failed before.
+        Return the number of consecutive failures to reach it before.
         """
         self._count_error(failed)
         return self.reached()
 
     def reached(self) -> int:
-        """A connection was granted; return how often in a row it had failed before."""
+        """Record that the upstream accepted a connection.
+
+        Return the number of consecutive failures to reach it before.
+        """
         self.runs.back()
         before, self._failures = self._failures, 0
         self.suspect_until = -math.inf
         return before
 
     def unreachable(self, now: float) -> float:
-        """No connection, or one that broke; return for how long to leave it alone."""
-        pause_s: float = min(SUSPECT_MAX_S, SUSPECT_FIRST_S * 2**self._failures)
+        """Record that no connection was made, or that one broke.
+
+        Return the seconds for which to avoid the upstream.
+        """
+        pause_s: float = min(SUSPECT_MAX_S, SUSPECT_MIN_S * 2**self._failures)
         self._failures += 1
         self.suspect_until = now + pause_s
         self._count_error(True)
         return pause_s
 
     def avoid(self, now: float, for_s: float, *, told: bool = False) -> None:
-        """The upstream takes no work for the moment; ``told`` if others say so."""
+        """Avoid an upstream that accepts no work at the moment.
+
+        ``told`` is whether other gateways reported this, rather than the upstream.
+        """
         self.avoid_until = max(self.avoid_until, now + for_s)
         self.told_to_avoid = told
 
     def back_off(self, now: float, for_s: float) -> None:
-        """The upstream wants no request from this process for ``for_s`` seconds."""
+        """Send no request for ``for_s`` seconds, as the upstream asked for."""
         self.backoff_until = max(self.backoff_until, now + for_s)
 
     def leaves(self, now: float) -> bool:
-        """The upstream says that it leaves; return whether that is new."""
+        """Record that the upstream is leaving; return True the first time."""
         is_new = self.leaving_since is None
         self.leaving_since = now if is_new else self.leaving_since
         return is_new
 
     @property
     def is_leaving(self) -> bool:
-        """Whether the upstream has said in an answer that it leaves."""
+        """Whether the upstream has said in an answer that it is leaving."""
         return self.leaving_since is not None
 
     def outlasts_record(self, now: float) -> bool:
-        """Whether what the upstream asked for still holds if its record lapses."""
+        """Return whether to keep this object after the upstream's record has expired.
+
+        True while the upstream is leaving or has asked for a backoff that still runs.
+        """
         if self.leaving_since is not None:
-            return now < self.leaving_since + LEAVING_KEPT_S
+            return now < self.leaving_since + LEAVING_RETENTION_S
         return now < self.backoff_until
 
     @property
     def failures(self) -> int:
-        """How often in a row the upstream could not be reached."""
+        """Number of consecutive failures to reach the upstream."""
         return self._failures
 
     @property
     def own(self) -> tuple[int, int, int]:
-        """The own work: requests, tokens to compute, tokens of memory."""
+        """This entry's own work: requests, tokens to compute, tokens of memory."""
         return self._requests, self._prefill_tokens, self._kv_tokens
 
     def load(
         self, now: float, peers: Totals | None, unseen: Load | None = None
     ) -> Load:
-        """The load as far as it can be known now.
+        """Return the estimated load at ``now``.
 
-        ``peers`` is what the other gateways tell of their work there, None if none of
-        them is heard; then the upstream's own reports have to do.  ``unseen`` is what
-        gateways that are not heard are taken to have there.
+        ``peers`` is the work that the other gateways report for this upstream.  If it
+        is None, as no gateway reports, the upstream's own reports are used.  ``unseen``
+        is the estimated work of gateways that do not report to this one.
         """
         if peers is None:
             age_s = now - self._reported_at
             others = self._others * 0.5 ** (age_s / REPORT_HALF_LIFE_S)
             return Load(self._requests + others, self._prefill_tokens, self._kv_tokens)
-        more = unseen if unseen is not None else _NOTHING
+        more = unseen if unseen is not None else _NO_LOAD
         return Load(
             requests=self._requests + peers.requests + more.requests,
             prefill_tokens=(
@@ -178,4 +193,4 @@
         self.error_share += ERROR_SMOOTHING * (float(failed) - self.error_share)
 
 
-_NOTHING = Load(0.0, 0.0, 0.0)
+_NO_LOAD = Load(0.0, 0.0, 0.0)
--- a/gooseberrydale/version/upstream_state.py
+++ b/gooseberrydale/version/upstream_state.py
@@ -1,7 +1,7 @@
-"""What is known of the upstream itself: one incarnation of it, under one weights
-version.
+"""State that an upstream reports of itself in its health call.
 
-Lives until the upstream says otherwise; a new value replaces it.
+A state belongs to one incarnation under one weights version; a new value replaces it
+when the upstream reports a change.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 class UpstreamState:
     """The last answer of the upstream's health call.
 
-    ``incarnation`` is empty for an upstream that does not tell, such as a plain
-    service without a health call.
+    ``incarnation`` is empty for an upstream that reports none, such as a plain service
+    without a health call.
     """
 
     ready: bool = False
--- a/tests/builders_ending.py
+++ b/tests/builders_ending.py
@@ -1,5 +1,4 @@
-"""Builders for requests that end their upstreams: upstreams that are replaced, and
-gateways with a control between them."""
+"""Upstreams that a harmful request ends, and gateways that send to them."""
 
 from __future__ import annotations
 
@@ -26,21 +25,21 @@
 HARMFUL = b"harmful"
 SLOW = b"slow"
 BACK_S = 0.3
-"""After this an upstream that has ended is replaced by another one."""
+"""Time after which an upstream that ended is replaced by another one."""
 
-LEARNED_S = 0.6
-"""In this time all gateways find that an upstream has ended, and tell each other."""
+EXCHANGE_S = 0.6
+"""Time by which all gateways have detected and exchanged the end of an upstream."""
 
 EVENTS = 40
 EVENT_S = 0.05
 
 
 @dataclass
-class House:
-    """Upstreams of one pool: a harmful request ends them, and others take their place.
+class UpstreamPool:
+    """Upstreams of one pool; each one that a harmful request ends is replaced.
 
-    ``ended`` has the loop's time of each end, ``harmful_at`` that of each arrival of
-    a harmful request.
+    ``ended`` has the time of each end, ``harmful_at`` that of each arrival of a harmful
+    request.  With ``answers_first``, an upstream sends one event before it ends.
     """
 
     gateways: list[Gateway] = field(default_factory=list)
@@ -52,7 +51,7 @@
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def add(self) -> None:
-        """Start one more upstream, under a name of its own."""
+        """Start one more upstream under a new name."""
         self._count += 1
         upstream = RawUpstream(f"u{self._count}", self._serve)
         await upstream.start()
@@ -61,14 +60,14 @@
             self.announce_to(gateway)
 
     def announce_to(self, gateway: Gateway) -> None:
-        """Let a gateway know of all upstreams that are there."""
+        """Announce all running upstreams to a gateway."""
         now = asyncio.get_running_loop().time()
         for upstream in self.upstreams:
-            found = record(upstream.name, address=upstream.address)
-            gateway.directory.offer(found, now)
+            announced = record(upstream.name, address=upstream.address)
+            gateway.directory.offer(announced, now)
 
     async def close(self) -> None:
-        """End all upstreams."""
+        """Stop all upstreams."""
         for task in self._tasks:
             task.cancel()
         for upstream in self.upstreams:
@@ -78,19 +77,19 @@
         loop = asyncio.get_running_loop()
         if body.startswith(HARMFUL):
             self.harmful_at.append(loop.time())
-            await self._fall(req, writer)
+            await self._end_upstream(req, writer)
         elif body.startswith(SLOW):
             await _stream(req, writer)
         else:
             writer.write(answer_bytes(req["id"], b"done " + body))
 
-    async def _fall(self, req: dict[str, str], writer: Writer) -> None:
+    async def _end_upstream(self, req: dict[str, str], writer: Writer) -> None:
         if self.answers_first:
             writer.write(stream_head(req["id"]) + chunk(event(1)))
             await writer.drain()
         await asyncio.sleep(0.05)
         port = writer.get_extra_info("sockname")[1]
-        for upstream in [one for one in self.upstreams if one.port == port]:
+        for upstream in [u for u in self.upstreams if u.port == port]:
             self.upstreams.remove(upstream)
             self.ended.append(asyncio.get_running_loop().time())
             upstream.end()
@@ -115,9 +114,9 @@
 
 @dataclass
 class Deployment:
-    """Gateways before one house, with a control that they have sessions to."""
+    """Gateways in front of one pool, with sessions to one control process."""
 
-    house: House
+    pool: UpstreamPool
     document: Declared
     control: Member
     stack: AsyncExitStack
@@ -125,8 +124,8 @@
 
     @property
     def gateways(self) -> list[Gateway]:
-        """The gateways that are there."""
-        return self.house.gateways
+        """The gateways that were started."""
+        return self.pool.gateways
 
     async def add_gateway(self) -> Gateway:
         """Start one more gateway, and wait for its session."""
@@ -136,7 +135,7 @@
             running_gateway(self.document, name=name, controls=controls)
         )
         self.gateways.append(gateway)
-        self.house.announce_to(gateway)
+        self.pool.announce_to(gateway)
         await until(lambda: gateway._mesh.connected)
         return gateway
 
@@ -155,15 +154,15 @@
 async def deployment(
     document: Declared, *, gateways: int = 3, upstreams: int = 4
 ) -> AsyncIterator[Deployment]:
-    """Gateways and upstreams; a control carries news between the gateways."""
+    """Run gateways and upstreams; a control process relays between the gateways."""
     async with AsyncExitStack() as stack:
-        house = House()
+        pool = UpstreamPool()
         control = await Member("control", "c1", token="").start()
         stack.push_async_callback(control.close)
-        stack.push_async_callback(house.close)
-        found = Deployment(house, document, control, stack)
+        stack.push_async_callback(pool.close)
+        fleet = Deployment(pool, document, control, stack)
         for _ in range(upstreams):
-            await house.add()
+            await pool.add()
         for _ in range(gateways):
-            await found.add_gateway()
-        yield found
+            await fleet.add_gateway()
+        yield fleet
--- a/tests/builders_incarnations.py
+++ b/tests/builders_incarnations.py
@@ -1,4 +1,4 @@
-"""Builders for the exchange of what ran at upstreams that ended, without sockets."""
+"""Simulates the exchange of reports of ended upstreams, without sockets."""
 
 from __future__ import annotations
 
@@ -10,31 +10,33 @@
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 from gooseberrydale.version.open_runs import LostRuns
 
-FASTEST_S, SLOWEST_S = 0.001, 0.4
+MIN_DELAY_S, MAX_DELAY_S = 0.001, 0.4
 
 
 def request(number: int) -> bytes:
-    """A fingerprint."""
+    """Return a fingerprint for a number."""
     return number.to_bytes(16, "big")
 
 
 def lost(*waiting: int, answering: tuple[int, ...] = ()) -> LostRuns:
-    """What ran at an upstream when it ended, by numbers of requests."""
+    """Return the runs at an upstream when it ended, from numbers of requests."""
     return LostRuns(
-        tuple(request(one) for one in waiting),
-        tuple(request(one) for one in answering),
+        tuple(request(number) for number in waiting),
+        tuple(request(number) for number in answering),
     )
 
 
-def told(name: str, *waiting: int, answering: tuple[int, ...] = ()) -> EndedIncarnation:
-    """The same as another process tells it."""
-    found = lost(*waiting, answering=answering)
-    return EndedIncarnation(name, found.waiting, found.answering)
+def reported(
+    name: str, *waiting: int, answering: tuple[int, ...] = ()
+) -> EndedIncarnation:
+    """Return the same as a report of another process."""
+    runs = lost(*waiting, answering=answering)
+    return EndedIncarnation(name, runs.waiting, runs.answering)
 
 
 @dataclass(eq=False)
 class End:
-    """One end of a session: whose table it reads, and what it has sent."""
+    """One end of a session: its process, and the version that it has sent."""
 
     node: Node
     sent: int = 0
@@ -42,7 +44,7 @@
 
 @dataclass(eq=False)
 class Node:
-    """One process; ``up`` is False while it is gone or cannot be reached."""
+    """One process; ``up`` is False while it is down or can't be reached."""
 
     name: str
     relays: bool
@@ -52,7 +54,7 @@
 
     @staticmethod
     def of(name: str, *, relays: bool) -> Node:
-        """A process that knows nothing yet."""
+        """Return a process with an empty table."""
         return Node(name, relays, EndedIncarnations(relays=relays))
 
 
@@ -60,8 +62,8 @@
 class Fleet:
     """Gateways with sessions to some controls, which have sessions to each other.
 
-    Messages of a session arrive in order, late by a random time and at times twice;
-    a session breaks at random, loses what is under way, and begins anew.
+    Messages are delayed by a random time, and some are repeated.  Sessions break at
+    random, lose their messages in flight, and are opened again.
     """
 
     rng: random.Random
@@ -69,36 +71,36 @@
     controls: list[Node]
     now: float = 0.0
     sessions: dict[tuple[Node, Node], tuple[End, End]] = field(default_factory=dict)
-    under_way: list[
+    in_flight: list[
         tuple[float, int, End, End, bytes, tuple[EndedIncarnation, ...]]
     ] = field(default_factory=list)
     _number: int = 0
 
     @staticmethod
     def of(rng: random.Random, gateways: int, controls: int) -> Fleet:
-        """A fleet whose sessions are all open."""
-        found = Fleet(
+        """Return a fleet whose sessions are all open."""
+        fleet = Fleet(
             rng,
             [Node.of(f"g{n}", relays=False) for n in range(gateways)],
             [Node.of(f"c{n}", relays=True) for n in range(controls)],
         )
-        for pair in found.pairs():
-            found.open(pair)
-        return found
+        for pair in fleet.pairs():
+            fleet.open(pair)
+        return fleet
 
     def pairs(self) -> list[tuple[Node, Node]]:
-        """Who has a session to whom."""
+        """Return the pairs of processes with a session."""
         seeds = self.controls[:3]
-        pairs = [(one, seed) for one in self.gateways for seed in seeds]
+        pairs = [(gateway, seed) for gateway in self.gateways for seed in seeds]
         pairs += [(c, s) for c in self.controls for s in seeds if c is not s]
         return pairs
 
     def open(self, pair: tuple[Node, Node]) -> None:
-        """Begin a session anew."""
+        """Open a session, or replace it by a new one."""
         self.sessions[pair] = End(pair[0]), End(pair[1])
 
     def step(self, seconds: float, *, breaking: float = 0.0) -> None:
-        """Let all sessions send, then deliver what is due after ``seconds``."""
+        """Send on all sessions, then deliver the messages due after ``seconds``."""
         for pair, (here, there) in list(self.sessions.items()):
             if self.rng.random() < breaking:
                 self.open(pair)
@@ -110,21 +112,23 @@
         self._deliver()
 
     def _send(self, here: End, there: End) -> None:
-        news = here.node.table.since(here.sent, self.now, exclude=here)
-        here.sent = news.version
-        if not news.incarnations:
+        update = here.node.table.since(here.sent, self.now, exclude=here)
+        here.sent = update.version
+        if not update.incarnations:
             return
-        data = encode(Announce((), self.now, None, news.incarnations))
+        data = encode(Announce((), self.now, None, update.incarnations))
         for _ in range(1 + (self.rng.random() < 0.1)):
-            at = self.now + self.rng.uniform(FASTEST_S, SLOWEST_S)
+            at = self.now + self.rng.uniform(MIN_DELAY_S, MAX_DELAY_S)
             self._number += 1
-            self.under_way.append(
-                (at, self._number, here, there, data, news.incarnations)
+            self.in_flight.append(
+                (at, self._number, here, there, data, update.incarnations)
             )
 
     def _deliver(self) -> None:
-        due = [one for one in self.under_way if one[0] <= self.now]
-        self.under_way = [one for one in self.under_way if one[0] > self.now]
+        due = [message for message in self.in_flight if message[0] <= self.now]
+        self.in_flight = [
+            message for message in self.in_flight if message[0] > self.now
+        ]
         self.rng.shuffle(due)
         open_ends = {end for ends in self.sessions.values() for end in ends}
         for _, _, here, there, data, incarnations in due:
@@ -135,7 +139,7 @@
                 there.node.table.offer(incarnation, self.now, source=there)
 
     def settle(self, bound_s: float) -> None:
-        """Nothing happens for ``bound_s`` but that sessions go on."""
+        """Run the sessions for ``bound_s`` without new ends or breaks."""
         end = self.now + bound_s
         while self.now < end:
             self.step(0.05)
--- a/tests/builders_limit_fleet.py
+++ b/tests/builders_limit_fleet.py
@@ -1,7 +1,7 @@
-"""A fleet of gateways before one upstream that limits its rate, without a network.
+"""Simulates a fleet of gateways and one upstream with a rate limit, without a network.
 
-Time moves in steps.  Gateways decide as they do in a deployment, reports between them
-are late and lost, gateways start again with an empty memory, and each send is noted.
+Time advances in steps.  Gateways use the real :class:`UpstreamLimits`; reports between
+them are delayed and lost, gateways restart with no state, and each send is recorded.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 
 STEP_S = 0.02
 ANSWER_S = (0.05, 0.4)
-KNOWN_S = 0.5
+BINDING_AFTER_S = 0.5
 EXCUSED_S = 3.0
-"""For so long a gateway that has started again is not counted."""
+"""Time after a restart for which the sends of a gateway are not counted."""
 
 ALONE_S = 1.0
-"""A gateway that has just started knows no other one for so long."""
+"""Time after its start for which a gateway sees no other gateway."""
 
 LEASE_S = 12.0
-"""A gateway that is gone is known to the others for so long."""
+"""Time for which the others still see a gateway that has ended."""
 
 SEEN_S = (0.05, 2.0)
-"""The others know a new gateway after this time, each after one of its own."""
+"""Range of the time after which another gateway sees a new one, drawn for each."""
 
 UPSTREAM = "u1"
 
 
 @dataclass
 class Node:
-    """One gateway; ``known_at`` is when it first knew of the limit."""
+    """One gateway; ``known_at`` is when it first had the limit."""
 
     peer: GatewayPeer
     limits: UpstreamLimits
@@ -48,9 +48,10 @@
 class LimitFleet:
     """Gateways, and an upstream that names ``per_s`` in its answers.
 
-    ``callers`` says how many requests a second come to a gateway at a moment.
-    ``sends`` has the moments of all sends, ``counted`` those of bound gateways.  From
-    ``silent_from`` on no announcement is renewed, as if all of control were gone.
+    ``callers`` returns the requests per second at a gateway at a given time.  ``sends``
+    has the times of all sends, ``counted`` those of gateways that must keep the limit.
+    From ``control_down_from`` on no announcement is renewed, as if all control replicas
+    had failed.
     """
 
     size: int
@@ -59,14 +60,14 @@
     per_s: float | None = None
     loss: float = 0.0
     now: float = 0.0
-    silent_from: float = math.inf
+    control_down_from: float = math.inf
     sends: list[float] = field(default_factory=list)
     counted: list[float] = field(default_factory=list)
     bytes_sent: int = 0
 
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
-        # Each gateway that ever was, and the times between which it is announced.
+        # Every gateway so far, with the start and end of its announcements.
         self._announced: dict[GatewayPeer, tuple[float, float]] = {}
         self._names = 0
         self.nodes = [
@@ -90,11 +91,11 @@
             if self.now < started_at + ALONE_S:
                 return known
             others = tuple(
-                one
-                for one, (since, until) in self._announced.items()
-                if one is not peer and since + lag_s <= self.now <= until
+                other
+                for other, (since, until) in self._announced.items()
+                if other is not peer and since + lag_s <= self.now <= until
             )
-            if self.now >= self.silent_from + LEASE_S:
+            if self.now >= self.control_down_from + LEASE_S:
                 others = ()
             if others != known.others:
                 known = Fleet(peer, others)
@@ -104,20 +105,20 @@
         return Node(peer, limits, started_at)
 
     def restart(self, *numbers: int) -> None:
-        """Let gateways start again, with an empty memory."""
+        """Restart gateways with no state."""
         for number in numbers:
             peer = self.nodes[number].peer
             self.nodes[number] = self._node(peer, self.now)
 
     def replace(self, *numbers: int) -> None:
-        """Let other gateways take the place of some, which end without a word."""
+        """Replace gateways, which end without deregistering, by new ones."""
         for number in numbers:
-            gone = self.nodes[number].peer
-            self._announced[gone] = self._announced[gone][0], self.now + LEASE_S
+            ended = self.nodes[number].peer
+            self._announced[ended] = self._announced[ended][0], self.now + LEASE_S
             self.nodes[number] = self._node(self._new_peer(self.now), self.now)
 
     def run(self, for_s: float) -> None:
-        """Let time go on."""
+        """Advance the time by ``for_s``."""
         end = self.now + for_s
         while self.now < end:
             self.now += STEP_S
@@ -134,15 +135,17 @@
             return
         node.limits.sent(UPSTREAM, self.now)
         self.sends.append(self.now)
-        bound = node.known_at is not None and self.now >= node.known_at + KNOWN_S
+        bound = (
+            node.known_at is not None and self.now >= node.known_at + BINDING_AFTER_S
+        )
         if bound and self.now >= node.started_at + EXCUSED_S:
             self.counted.append(self.now)
         at = self.now + self.rng.uniform(*ANSWER_S)
         self._answers.append((at, node, self.per_s))
 
     def _deliver_answers(self) -> None:
-        due = [one for one in self._answers if one[0] <= self.now]
-        self._answers = [one for one in self._answers if one[0] > self.now]
+        due = [answer for answer in self._answers if answer[0] <= self.now]
+        self._answers = [answer for answer in self._answers if answer[0] > self.now]
         for _, node, per_s in due:
             if node in self.nodes:
                 node.limits.answered(UPSTREAM, per_s, self.now)
@@ -160,9 +163,9 @@
         self.bytes_sent += len(data) * (self.size - 1)
         for other in self.nodes:
             if other is not node and self.rng.random() >= self.loss:
-                found = decode(data)
-                assert isinstance(found, LimitReport)
-                other.limits.take(found, self.now)
+                received = decode(data)
+                assert isinstance(received, LimitReport)
+                other.limits.take(received, self.now)
                 self._note_known(other)
 
     def _note_known(self, node: Node) -> None:
--- a/tests/builders_limits.py
+++ b/tests/builders_limits.py
@@ -1,4 +1,4 @@
-"""Builders for upstreams that limit their rate: upstreams, gateways and callers."""
+"""Upstreams that announce a rate limit, and gateways that send them requests."""
 
 from __future__ import annotations
 
@@ -19,23 +19,23 @@
 from tests.builders_mesh import Member, until
 
 WINDOW_S = 4.0
-CONTACT_S = 3.0
-"""A limit binds from then on after it was first named."""
+BINDING_AFTER_S = 3.0
+"""Time after the first answer with a limit from which windows must keep the limit."""
 
-TOLD_S = 0.5
-"""A gateway is bound this long after the first answer that names the limit."""
+REPORTED_S = 0.5
+"""Time after the first answer with a limit by which all gateways have received it."""
 
 
 def allowed(per_s: float) -> float:
-    """Requests that a window may hold at most."""
+    """Return the maximum number of requests in a window."""
     return 1.5 * per_s * WINDOW_S + 5
 
 
 def most_in_window(moments: list[float], since: float) -> int:
-    """The most that any window holds which ends after ``since``."""
-    found = sorted(moments)
+    """Return the highest count in any window that ends after ``since``."""
+    times = sorted(moments)
     counts = (
-        sum(end - WINDOW_S < at <= end for at in found) for end in found if end >= since
+        sum(end - WINDOW_S < at <= end for at in times) for end in times if end >= since
     )
     return max(counts, default=0)
 
@@ -44,8 +44,8 @@
 class LimitedUpstream:
     """An upstream that names ``limit_per_s`` in its answers once that is set.
 
-    ``arrivals`` has the loop's time of each request, ``named_at`` that of the first
-    answer that named a limit.
+    ``arrivals`` has the arrival time of each request, ``named_at`` the time of the
+    first answer that named a limit.
     """
 
     name: str
@@ -65,16 +65,16 @@
             headers += f"\r\nlimit: {self.limit_per_s}"
         writer.write(answer_bytes(req["id"], body, headers=headers))
 
-    def most_when_bound(self) -> int:
-        """The most that any window holds of what gateways sent that were told."""
+    def most_in_bound_window(self) -> int:
+        """Return the highest count in a window after all gateways got the limit."""
         assert self.named_at is not None
-        told = [at for at in self.arrivals if at >= self.named_at + TOLD_S]
-        return most_in_window(told, self.named_at + CONTACT_S)
+        bound = [at for at in self.arrivals if at >= self.named_at + REPORTED_S]
+        return most_in_window(bound, self.named_at + BINDING_AFTER_S)
 
 
 @dataclass
 class Deployment:
-    """Gateways that know each other before upstreams of one pool."""
+    """Gateways that see each other, in front of the upstreams of one pool."""
 
     document: Declared
     control: Member
@@ -85,12 +85,14 @@
     async def add_gateway(
         self, *upstreams: LimitedUpstream, gateways: int = 1
     ) -> Gateway:
-        """Start one more gateway that no request comes to; the first one starts
-        ``upstreams`` and announces them."""
+        """Start one more gateway, which :meth:`load` does not use.
+
+        The first gateway starts ``upstreams`` and announces them to the later ones.
+        """
         gateway = await self.stack.enter_async_context(
             running_gateway(
                 self.document,
-                *(one.server for one in upstreams),
+                *(upstream.server for upstream in upstreams),
                 name=f"g{len(self.gateways)}",
                 controls=(self.control.address,),
                 gateways=gateways,
@@ -103,7 +105,7 @@
         return gateway
 
     async def load(self, per_s: float, for_s: float) -> None:
-        """Send requests to the gateways in turn, at an even pace."""
+        """Send requests at a constant rate to one gateway after the other."""
         async with asyncio.TaskGroup() as group:
             for number in range(round(per_s * for_s)):
                 gateway = self.gateways[number % len(self.gateways)]
@@ -119,19 +121,21 @@
 async def deployment(
     document: Declared, *upstreams: LimitedUpstream, gateways: int
 ) -> AsyncIterator[Deployment]:
-    """Gateways with a control between them, which know each other."""
+    """Run gateways that see each other through a control process."""
     async with AsyncExitStack() as stack:
         control = await Member("control", "c1", token="").start()
         stack.push_async_callback(control.close)
-        found = Deployment(document, control, stack)
+        fleet = Deployment(document, control, stack)
         for number in range(gateways):
             started = upstreams if number == 0 else ()
-            gateway = await found.add_gateway(*started, gateways=gateways)
-            found.gateways.append(gateway)
+            gateway = await fleet.add_gateway(*started, gateways=gateways)
+            fleet.gateways.append(gateway)
         await until(
-            lambda: all(len(one._gateway_links()) == gateways for one in found.gateways)
+            lambda: all(
+                len(peer._gateway_links()) == gateways for peer in fleet.gateways
+            )
         )
         try:
-            yield found
+            yield fleet
         finally:
-            await asyncio.gather(*(one.close() for one in found.gateways))
+            await asyncio.gather(*(peer.close() for peer in fleet.gateways))
--- a/tests/builders_quotas.py
+++ b/tests/builders_quotas.py
@@ -1,7 +1,8 @@
-"""Gateways that share quotas over a network in memory, and callers that send.
+"""Gateways that share quotas over an in-memory network, and callers that send requests.
 
-Runs on a paused clock.  Datagrams are delayed, lost and cut; gateways freeze, are
-killed and start again.  Every grant is written down, so that any window can be summed.
+Runs on a paused clock.  Datagrams are delayed, lost and blocked by partitions; gateways
+freeze, are killed and restart.  Every grant is recorded, which allows the sum of any
+time window to be checked.
 """
 
 from __future__ import annotations
@@ -26,13 +27,16 @@
 
 
 def tokens(per_s: float, burst: float | None = None) -> Quota:
-    """A quota in tokens; a second's worth of burst if nothing else is said."""
+    """Return a quota in tokens; the default burst is that of one second."""
     return Quota(per_s, per_s if burst is None else burst, QuotaUnit.TOKENS, 200)
 
 
 @dataclass
 class Net:
-    """Carries datagrams between gateways by name."""
+    """Carries datagrams between gateways by name.
+
+    Gateways with different values in ``side_of`` are cut off from each other.
+    """
 
     rng: random.Random
     loss: float = 0.0
@@ -42,8 +46,8 @@
     sent_bytes: Counter[str] = field(default_factory=Counter)
     got_bytes: Counter[str] = field(default_factory=Counter)
 
-    def send(self, source: str, told: object, peers: Iterable[GatewayPeer]) -> None:
-        data = encode(told)
+    def send(self, source: str, msg: object, peers: Iterable[GatewayPeer]) -> None:
+        data = encode(msg)
         for peer in peers:
             self.sent[source] += 1
             self.sent_bytes[source] += len(data) + DATAGRAM_HEAD_BYTES
@@ -62,12 +66,15 @@
         if node.frozen:
             node.held.append(data)
         elif node.alive:
-            node.hear(data)
+            node.receive(data)
 
 
 @dataclass
 class Node:
-    """One gateway; each start of it is another incarnation with empty memory."""
+    """One gateway; each start of it is a new incarnation without state.
+
+    While ``frozen``, received datagrams wait in ``held``.
+    """
 
     net: Net
     peer: GatewayPeer
@@ -83,13 +90,13 @@
     def on(self, kind: type[Any], handler: Callable[[Any], None]) -> None:
         self.handlers[kind] = handler
 
-    def send(self, told: object, peers: Iterable[GatewayPeer]) -> None:
+    def send(self, msg: object, peers: Iterable[GatewayPeer]) -> None:
         if self.alive and not self.frozen:
-            self.net.send(self.peer.name, told, peers)
+            self.net.send(self.peer.name, msg, peers)
 
-    def hear(self, data: bytes) -> None:
-        told = decode(data)
-        self.handlers[type(told)](told)
+    def receive(self, data: bytes) -> None:
+        msg = decode(data)
+        self.handlers[type(msg)](msg)
 
     async def start(self) -> None:
         self.starts += 1
@@ -110,16 +117,16 @@
         if self.client is not None:
             await self.client.close()
 
-    def wake(self) -> None:
+    def thaw(self) -> None:
         self.frozen = False
         held, self.held = self.held, []
         for data in held:
-            self.hear(data)
+            self.receive(data)
 
 
 @dataclass(frozen=True)
 class Grant:
-    """A request that may be sent."""
+    """A request that was granted."""
 
     at: float
     cost: int
@@ -127,8 +134,11 @@
 
 
 @dataclass
-class Fleetful:
-    """A fleet of gateways, the quotas in force, and what was granted and refused."""
+class QuotaFleet:
+    """A fleet of gateways, the quotas in force, and all grants and refusals.
+
+    ``wide`` is the number of gateways with a wide link, which may own counts;
+    ``late`` has the time that each decision took."""
 
     seed: int
     size: int = 29
@@ -151,9 +161,9 @@
             for i in range(self.size)
         ]
         for peer in peers:
-            others = tuple(one for one in peers if one is not peer)
+            others = tuple(other for other in peers if other is not peer)
             fleet = Fleet(peer, others)
-            node = Node(self.net, peer, _always(fleet), lambda: self.quotas)
+            node = Node(self.net, peer, _constant(fleet), lambda: self.quotas)
             self.net.nodes[peer.name] = node
 
     @property
@@ -170,7 +180,7 @@
                 await node.kill()
 
     async def ask(self, node: Node, want: Want) -> OverQuota | None:
-        """One request at one gateway, with its outcome written down."""
+        """Ask for one request at one gateway and record the outcome."""
         began = now()
         if not node.alive or node.frozen or node.client is None:
             return None
@@ -183,37 +193,37 @@
         return refused
 
     def granted(self, workspace: str, since: float = 0.0, until: float = 1e9) -> int:
-        """What was granted in a time."""
+        """Return the sum of the grants in a time span."""
         return sum(g.cost for g in self.grants[workspace] if since <= g.at < until)
 
     def most_in_window(
         self, workspace: str, since: float = 0.0, until: float = 1e9
     ) -> int:
-        """The most that any window held which lies in a time."""
-        found = sorted(
+        """Return the highest sum of grants in any window within a time span."""
+        grants = sorted(
             (g.at, g.cost) for g in self.grants[workspace] if since <= g.at < until
         )
         most = total = first = 0
-        for at, cost in found:
+        for at, cost in grants:
             total += cost
-            while found[first][0] <= at - WINDOW_S:
-                total -= found[first][1]
+            while grants[first][0] <= at - WINDOW_S:
+                total -= grants[first][1]
                 first += 1
             most = max(most, total)
         return most
 
 
-def _always(fleet: Fleet) -> Callable[[], Fleet]:
+def _constant(fleet: Fleet) -> Callable[[], Fleet]:
     return lambda: fleet
 
 
 def bound(quota: Quota, slack: float = SLACK) -> float:
-    """What any window may hold."""
+    """Return the maximum sum of grants in any window."""
     return (quota.per_s * WINDOW_S + quota.burst) * (1 + OVERAGE) + slack
 
 
 def due(arrivals: list[tuple[float, int]], quota: Quota) -> int:
-    """What one bucket that sees every arrival at once grants of them."""
+    """Return what a single bucket grants that sees every arrival immediately."""
     left, last, given = quota.burst, 0.0, 0
     for at, cost in arrivals:
         left = min(quota.burst, left + (at - last) * quota.per_s)
@@ -226,17 +236,17 @@
 
 @dataclass
 class Callers:
-    """Callers of one workspace: Poisson arrivals of prompts, refused ones return."""
+    """Callers of one workspace: Poisson arrivals, and retries of refused requests."""
 
-    fleet: Fleetful
+    fleet: QuotaFleet
     workspace: str
     per_s: float
     sizes: Callable[[random.Random], int]
     nodes: Callable[[random.Random], Node]
-    returns: bool = True
+    retries: bool = True
     patience_s: float = 2.0
     arrivals: list[tuple[float, int]] = field(default_factory=list)
-    returned: list[bool] = field(default_factory=list)
+    retry_granted: list[bool] = field(default_factory=list)
 
     async def run(self, until: float) -> None:
         rng = random.Random(f"{self.fleet.seed}-{self.workspace}")
@@ -258,17 +268,17 @@
             self.workspace, quota, cost, request=name, patience_s=self.patience_s
         )
         refused = await self.fleet.ask(self.nodes(rng), want)
-        if refused is None or not self.returns:
+        if refused is None or not self.retries:
             return
         if refused.after_s > self.patience_s:
             return
         await asyncio.sleep(refused.after_s)
-        again = Want(self.workspace, quota, cost, request=name)
-        self.returned.append(await self.fleet.ask(self.nodes(rng), again) is None)
+        retry = Want(self.workspace, quota, cost, request=name)
+        self.retry_granted.append(await self.fleet.ask(self.nodes(rng), retry) is None)
 
 
 def prompts(rng: random.Random) -> int:
-    """Sizes as those of a deployment: large prompts, and questions as many."""
+    """Return the cost of a prompt, from about as many large prompts as questions."""
     if rng.random() < 0.55:
         return int(6_300 + rng.lognormvariate(7.5, 0.8))
     return int(780 + rng.lognormvariate(5.5, 0.8))
--- a/tests/test_cache_view.py
+++ b/tests/test_cache_view.py
@@ -1,4 +1,4 @@
-"""The view of the cache is exact or says that it is incomplete."""
+"""A view of an upstream's cache is exact, or reports that it is incomplete."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 PIECES = [("a", 10), ("b", 20), ("c", 30)]
 
 
-def begun(seq: int = 0, *keys: str) -> CacheView:
-    """A complete view as of ``seq``."""
+def complete_view(seq: int = 0, *keys: str) -> CacheView:
+    """Return a complete view at ``seq`` with the given keys."""
     view = CacheView()
     view.begin(INCARNATION, "v1")
     view.load(CacheSnapshot(INCARNATION, seq, keys))
@@ -39,13 +39,13 @@
 
 
 def test_a_piece_counts_only_if_all_before_it_are_cached() -> None:
-    assert begun(0, "a", "c").cached_tokens(PIECES) == 10
-    assert begun(0, "a", "b", "c").cached_tokens(PIECES) == 60
-    assert begun(0, "b").cached_tokens(PIECES) == 0
+    assert complete_view(0, "a", "c").cached_tokens(PIECES) == 10
+    assert complete_view(0, "a", "b", "c").cached_tokens(PIECES) == 60
+    assert complete_view(0, "b").cached_tokens(PIECES) == 0
 
 
 def test_a_gap_hides_everything_until_it_is_filled() -> None:
-    view = begun(0, "a")
+    view = complete_view(0, "a")
     view.apply(stored(2, "b"))
     assert view.cached_tokens(PIECES) == 0
     view.apply(removed(1, "a"))
@@ -54,7 +54,7 @@
 
 
 def test_a_repeated_event_changes_nothing() -> None:
-    view = begun(0, "a")
+    view = complete_view(0, "a")
     for event in (stored(1, "b"), removed(2, "a"), stored(1, "b"), removed(2, "a")):
         view.apply(event)
     assert view.complete
@@ -62,7 +62,7 @@
 
 
 def test_a_snapshot_fills_a_gap_and_an_old_one_changes_nothing() -> None:
-    view = begun(0, "a")
+    view = complete_view(0, "a")
     view.apply(removed(2, "b"))
     view.load(CacheSnapshot(INCARNATION, 1, ("a", "b")))
     assert view.cached_tokens(PIECES) == 10
@@ -72,22 +72,22 @@
 
 def test_another_incarnation_or_other_weights_drop_everything() -> None:
     for incarnation, weights in (("incarnation-2", "v1"), (INCARNATION, "v2")):
-        view = begun(0, "a")
+        view = complete_view(0, "a")
         assert not view.begin(INCARNATION, "v1")
         assert view.begin(incarnation, weights)
         assert view.cached_tokens(PIECES) == 0
 
 
-def test_what_another_incarnation_says_is_ignored() -> None:
-    view = begun(0, "a")
+def test_events_and_snapshots_of_another_incarnation_are_ignored() -> None:
+    view = complete_view(0, "a")
     view.apply(replace(stored(1, "b"), incarnation="incarnation-0"))
     view.load(CacheSnapshot("incarnation-0", 5, ("a", "b", "c")))
     assert view.cached_tokens(PIECES) == 10
     assert view.ignored == 2
 
 
-def test_the_events_that_wait_for_a_lost_one_are_bounded() -> None:
-    view = begun(0, "a")
+def test_the_number_of_pending_events_is_bounded() -> None:
+    view = complete_view(0, "a")
     for seq in range(2, 3 * MAX_PENDING):
         view.apply(stored(seq, "b"))
     assert not view.complete
@@ -108,14 +108,16 @@
 def test_a_complete_view_is_exact_whatever_happens_to_events(
     steps: list[tuple[set[str], set[str]]], data: st.DataObject
 ) -> None:
-    """Events are lost, repeated and reordered, snapshots come at any time."""
+    """Events are lost, repeated and reordered; snapshots arrive at any time."""
     truth: list[set[str]] = [set()]
     events = []
-    for seq, (come, go) in enumerate(steps, start=1):
-        truth.append((truth[-1] - go) | come)
-        events.append(CacheEvent(INCARNATION, seq, tuple(come), tuple(go - come)))
+    for seq, (added, dropped) in enumerate(steps, start=1):
+        truth.append((truth[-1] - dropped) | added)
+        events.append(
+            CacheEvent(INCARNATION, seq, tuple(added), tuple(dropped - added))
+        )
     arriving = data.draw(st.lists(st.sampled_from(events), max_size=40))
-    view = begun()
+    view = complete_view()
     for event in arriving:
         view.apply(event)
         if data.draw(st.integers(0, 4)) == 0:
--- a/tests/test_ended_upstreams.py
+++ b/tests/test_ended_upstreams.py
@@ -1,20 +1,14 @@
-"""A request that ends each upstream that runs it, and is repeated.
+"""A request that ends every upstream that runs it, and is repeated.
 
-What users saw: one request ended eight engines within 14 s, and nine later on; it
-was answered with 502 each time.  With each engine the four to twelve streams of other
-callers that it ran broke off, and half of the engines were gone at once.
+Guards against a failure in which one request ended eight engines within 14 s, and nine
+later on, and was answered with 502 each time.  The four to twelve streams of other
+callers at each engine broke off, and half of the engines were down at the same time.
 
-The order of events: the request comes to a gateway, is sent to an engine, and the
-engine ends before it has answered.  The caller repeats it, with another id and by way
-of another gateway, and it is sent to the next engine.
-
-The cause: a gateway knew only the attempt before it.  What an attempt had ended was
-forgotten with its answer, and nothing said that the next one asks for the same, be it
-at that gateway or at another one; so the request ran as often as it came.
-
-The evidence: eight sends under eight ids by way of six gateways, none of them sent
-twice by its gateway; and a digest of what each asks for, which is the same on all
-eight, while what else ran at the upstreams was on three of them at most.
+The engine ended before it answered.  The caller then repeated the request under another
+id through another gateway, which sent it to the next engine: eight sends under eight
+ids through six gateways, none sent twice by its gateway.  A gateway that sees only its
+own attempts can't relate them.  The digest of the content does: it was the same for all
+eight, while no other request ran at more than three of the engines.
 """
 
 from __future__ import annotations
@@ -28,8 +22,8 @@
 from gooseberrydale.version.ended_incarnations import QUARANTINE_AFTER
 from tests.builders_ending import (
     BACK_S,
+    EXCHANGE_S,
     HARMFUL,
-    LEARNED_S,
     SLOW,
     Deployment,
     deployment,
@@ -47,43 +41,43 @@
     name="streams",
     timeout_s=10.0,
 )
-CONTACT_S = 3.0
-"""A third end of an upstream is known to all gateways after this."""
+DELIVERY_BOUND_S = 3.0
+"""Time by which all gateways have received the third end of an upstream."""
 
 REPEATS = 12
 
 
-def test_repeats_of_what_ends_upstreams_are_not_sent_to_ever_more_of_them() -> None:
+def test_a_repeated_harmful_request_ends_only_a_few_upstreams() -> None:
     async def main() -> None:
         async with deployment(declared(CALLS)) as fleet:
             for number in range(REPEATS):
                 gateway = fleet.gateways[number % len(fleet.gateways)]
                 await fleet.send(gateway, HARMFUL)
-                await asyncio.sleep(LEARNED_S)
+                await asyncio.sleep(EXCHANGE_S)
                 assert await fleet.send(gateway, b"harmless") == 200
-            third = fleet.house.ended[2]
-            late = [at for at in fleet.house.harmful_at if at > third + CONTACT_S]
+            third = fleet.pool.ended[2]
+            late = [at for at in fleet.pool.harmful_at if at > third + DELIVERY_BOUND_S]
             assert len(late) <= 3
 
     run(main())
 
 
 async def end_three(fleet: Deployment, target: str = "/calls/1") -> None:
-    """Send the harmful request until it has ended as many upstreams as it may."""
+    """Send the harmful request until it has ended enough upstreams for quarantine."""
     number = 0
-    while len(fleet.house.ended) < QUARANTINE_AFTER:
+    while len(fleet.pool.ended) < QUARANTINE_AFTER:
         gateway = fleet.gateways[number % len(fleet.gateways)]
         await fleet.send(gateway, HARMFUL, target)
-        await asyncio.sleep(LEARNED_S)
+        await asyncio.sleep(EXCHANGE_S)
         number += 1
 
 
 async def wait_quarantined(*gateways: Gateway) -> None:
     """Wait until each of the gateways quarantines some request."""
-    await until(lambda: all(one.ended_incarnations.quarantined() for one in gateways))
+    await until(lambda: all(g.ended_incarnations.quarantined() for g in gateways))
 
 
-def test_who_is_refused_learns_at_once_why_and_that_it_has_not_run() -> None:
+def test_a_quarantined_request_is_refused_without_delay_and_with_the_reason() -> None:
     async def main() -> None:
         async with deployment(declared(CALLS)) as fleet:
             await end_three(fleet)
@@ -96,12 +90,12 @@
             assert (error["code"], error["not_run"]) == ("ends_upstreams", True)
             digest = shown(fingerprint("a", "POST", HOST, "/calls/1", HARMFUL))
             assert digest in error["message"] and "3 upstreams" in error["message"]
-            assert len(fleet.house.harmful_at) == 3
+            assert len(fleet.pool.harmful_at) == 3
 
     run(main())
 
 
-def test_another_body_or_path_of_the_same_caller_is_served() -> None:
+def test_a_request_with_another_body_or_path_is_still_sent() -> None:
     async def main() -> None:
         async with deployment(declared(CALLS)) as fleet:
             await end_three(fleet)
@@ -112,19 +106,19 @@
     run(main())
 
 
-def test_a_gateway_that_has_just_started_knows_what_the_others_know() -> None:
+def test_a_gateway_that_has_just_started_receives_the_quarantine() -> None:
     async def main() -> None:
         async with deployment(declared(CALLS), gateways=2) as fleet:
             await end_three(fleet)
             newcomer = await fleet.add_gateway()
             await wait_quarantined(newcomer)
             assert await fleet.send(newcomer, HARMFUL) == 503
-            assert len(fleet.house.harmful_at) == 3
+            assert len(fleet.pool.harmful_at) == 3
 
     run(main())
 
 
-def test_gateways_tell_a_control_that_has_lost_its_memory() -> None:
+def test_gateways_report_again_to_a_restarted_control() -> None:
     async def main() -> None:
         async with deployment(declared(CALLS), gateways=2) as fleet:
             await end_three(fleet)
@@ -143,23 +137,23 @@
     run(main())
 
 
-def test_repeats_in_parallel_end_what_they_met_and_no_more() -> None:
+def test_parallel_repeats_end_no_more_upstreams_than_they_run_at() -> None:
     async def main() -> None:
         async with deployment(declared(CALLS), upstreams=6) as fleet:
-            sent = [fleet.send(one, HARMFUL) for one in fleet.gateways * 2]
+            sent = [fleet.send(gateway, HARMFUL) for gateway in fleet.gateways * 2]
             assert 200 not in await asyncio.gather(*sent)
             await wait_quarantined(*fleet.gateways)
-            ended = len(fleet.house.ended)
+            ended = len(fleet.pool.ended)
             await asyncio.sleep(2 * BACK_S)
-            again = [fleet.send(one, HARMFUL) for one in fleet.gateways * 2]
+            again = [fleet.send(gateway, HARMFUL) for gateway in fleet.gateways * 2]
             assert set(await asyncio.gather(*again)) == {503}
-            assert len(fleet.house.ended) == ended
+            assert len(fleet.pool.ended) == ended
 
     run(main())
 
 
-def test_a_stream_that_was_there_at_each_end_is_not_blamed() -> None:
-    """Its gateway sends it on after an end, and its caller goes on with it."""
+def test_a_stream_that_ran_at_each_ended_upstream_is_not_blamed() -> None:
+    """Its gateway resumes it elsewhere after each end, and its caller continues it."""
 
     async def main() -> None:
         async with deployment(declared(CALLS, STREAMS), upstreams=1) as fleet:
@@ -173,7 +167,7 @@
                 await fleet.send(gateway, HARMFUL)
                 assert await stream == 200
                 last = str(int(last or "0") + 1)
-                await asyncio.sleep(LEARNED_S)
+                await asyncio.sleep(EXCHANGE_S)
             slow = fingerprint("a", "POST", HOST, "/streams/1", SLOW)
             harmful = fingerprint("a", "POST", HOST, "/calls/1", HARMFUL)
             await wait_quarantined(*fleet.gateways)
@@ -184,18 +178,18 @@
 
 
 @pytest.mark.parametrize("answers_first", [False, True])
-def test_streams_that_end_upstreams_are_sent_on_no_more_often_than_calls(
+def test_a_harmful_stream_is_not_resumed_more_often_than_a_call_is_sent(
     answers_first: bool,
 ) -> None:
     async def main() -> None:
         async with deployment(declared(STREAMS), upstreams=6) as fleet:
-            fleet.house.answers_first = answers_first
+            fleet.pool.answers_first = answers_first
             await end_three(fleet, "/streams/1")
             await wait_quarantined(*fleet.gateways)
-            met = len(fleet.house.harmful_at)
+            met = len(fleet.pool.harmful_at)
             assert met <= 4
             status = await fleet.send(fleet.gateways[0], HARMFUL, "/streams/1")
             assert status == 503
-            assert len(fleet.house.harmful_at) == met
+            assert len(fleet.pool.harmful_at) == met
 
     run(main())
--- a/tests/test_limit_fleet.py
+++ b/tests/test_limit_fleet.py
@@ -1,4 +1,4 @@
-"""Limits of an upstream's rate over whole fleets, on a model without a network."""
+"""Rate limits of an upstream over whole fleets, simulated without a network."""
 
 from __future__ import annotations
 
@@ -16,36 +16,34 @@
 Callers = Callable[[int, float], float]
 
 
-def evenly(per_s: float, size: int) -> Callers:
+def even_load(per_s: float, size: int) -> Callers:
     return lambda number, now: per_s / size
 
 
-def in_bursts(per_s: float, size: int) -> Callers:
-    """Nobody for five seconds, then all callers of six seconds within one."""
+def burst_load(per_s: float, size: int) -> Callers:
+    """No requests for five seconds, then those of six seconds within one."""
     return lambda number, now: 6.0 * per_s / size if now % 6.0 > 5.0 else 0.0
 
 
-def at_few(per_s: float, size: int) -> Callers:
-    """All callers at a tenth of the gateways, at others every seven seconds."""
-    part = max(1, size // 10)
+def load_at_few(per_s: float, size: int) -> Callers:
+    """All requests at a tenth of the gateways, other ones every seven seconds."""
+    gateways = max(1, size // 10)
 
     def callers(number: int, now: float) -> float:
-        turn = int(now / 7.0) * part
-        return per_s / part if (number - turn) % size < part else 0.0
+        shift = int(now / 7.0) * gateways
+        return per_s / gateways if (number - shift) % size < gateways else 0.0
 
     return callers
 
 
-LOADS = {"evenly": evenly, "in bursts": in_bursts, "at few": at_few}
+LOADS = {"evenly": even_load, "in bursts": burst_load, "at few": load_at_few}
 
 
 @pytest.mark.parametrize("load", LOADS)
 @pytest.mark.parametrize("per_s", RATES)
 @pytest.mark.parametrize("size", SIZES)
-def test_no_window_holds_more_than_the_limit_allows(
-    size: int, per_s: float, load: str
-) -> None:
-    """Whatever the size, also with lost reports and callers that move around."""
+def test_no_window_exceeds_the_limit(size: int, per_s: float, load: str) -> None:
+    """Guards against excess requests when reports are lost and callers move."""
     demand = max(20.0, 4.0 * per_s)
     fleet = LimitFleet(size, 1, LOADS[load](demand, size), loss=0.05)
     fleet.run(1.0)
@@ -55,11 +53,14 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_window_holds_more_while_gateways_start_again(seed: int) -> None:
-    """One by one, several at once, and all; they count again after three seconds."""
+def test_no_window_exceeds_the_limit_while_gateways_restart(seed: int) -> None:
+    """Gateways restart one at a time, several at a time and all at once.
+
+    A restarted gateway is excused for three seconds.
+    """
     rng = random.Random(seed)
     size, per_s = rng.choice((8, 29, 70)), rng.choice((1.1, 1.6, 7.0))
-    fleet = LimitFleet(size, seed, evenly(60.0, size), loss=0.05)
+    fleet = LimitFleet(size, seed, even_load(60.0, size), loss=0.05)
     fleet.per_s = per_s
     fleet.run(4.0)
     for _ in range(6):
@@ -70,11 +71,11 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_no_window_holds_more_while_gateways_are_replaced(seed: int) -> None:
-    """The others learn of it at different times, so that they share unlike parts."""
+def test_no_window_exceeds_the_limit_while_gateways_are_replaced(seed: int) -> None:
+    """The others see a replacement at different times, and so compute unlike shares."""
     rng = random.Random(seed)
     size, per_s = rng.choice((8, 29, 70)), rng.choice((1.1, 1.6, 7.0))
-    fleet = LimitFleet(size, seed, evenly(60.0, size), loss=0.05)
+    fleet = LimitFleet(size, seed, even_load(60.0, size), loss=0.05)
     fleet.per_s = per_s
     fleet.run(4.0)
     for _ in range(8):
@@ -84,20 +85,20 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_no_window_holds_more_while_announcements_lapse(size: int) -> None:
-    """Control is gone for longer than a lease, so gateways seem to be alone."""
-    fleet = LimitFleet(size, 1, evenly(60.0, size))
+def test_no_window_exceeds_the_limit_while_announcements_lapse(size: int) -> None:
+    """Control is down for longer than a lease, so no gateway sees any other."""
+    fleet = LimitFleet(size, 1, even_load(60.0, size))
     fleet.per_s = 1.6
     fleet.run(4.0)
-    fleet.silent_from = fleet.now
+    fleet.control_down_from = fleet.now
     fleet.run(30.0)
     assert most_in_window(fleet.counted, EXCUSED_S) <= allowed(1.6)
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_no_window_holds_more_after_all_start_at_once(size: int) -> None:
-    """Also counted from their start on, before they know each other."""
-    fleet = LimitFleet(size, 1, evenly(60.0, size))
+def test_no_window_exceeds_the_limit_after_all_start_at_once(size: int) -> None:
+    """Requests count from the start on, before the gateways see each other."""
+    fleet = LimitFleet(size, 1, even_load(60.0, size))
     fleet.per_s = 1.6
     fleet.restart(*range(size))
     fleet.run(1.0)
@@ -107,9 +108,9 @@
 
 
 @pytest.mark.parametrize("size", SIZES)
-def test_most_of_what_an_upstream_takes_is_sent_to_it(size: int) -> None:
-    """Callers at all gateways: none of the rate is left to gateways without any."""
-    fleet = LimitFleet(size, 1, evenly(10.0 * size, size))
+def test_most_of_an_upstreams_limit_is_used(size: int) -> None:
+    """With callers at all gateways, nearly the whole rate must be used."""
+    fleet = LimitFleet(size, 1, even_load(10.0 * size, size))
     fleet.per_s = 6.0
     fleet.run(4.0)
     before = len(fleet.sends)
@@ -119,8 +120,8 @@
 
 @pytest.mark.parametrize("load", LOADS)
 @pytest.mark.parametrize("size", (8, 70))
-def test_the_end_of_a_limit_is_known_to_all(size: int, load: str) -> None:
-    """Also if the gateways that may send have no callers when it ends."""
+def test_all_gateways_learn_that_a_limit_was_lifted(size: int, load: str) -> None:
+    """A lifted limit is seen only in answers, and the senders may have no callers."""
     fleet = LimitFleet(size, 1, LOADS[load](40.0, size), loss=0.05)
     fleet.per_s = 1.6
     fleet.run(8.0)
@@ -129,8 +130,8 @@
     assert {node.limits.per_s("u1") for node in fleet.nodes} == {None}
 
 
-def test_a_lower_limit_binds_and_what_was_saved_up_is_cut() -> None:
-    fleet = LimitFleet(8, 1, evenly(100.0, 8))
+def test_a_lower_limit_also_cuts_the_saved_up_burst() -> None:
+    fleet = LimitFleet(8, 1, even_load(100.0, 8))
     fleet.per_s = 40.0
     fleet.run(8.0)
     fleet.per_s = 2.0
@@ -141,9 +142,9 @@
 
 
 @pytest.mark.parametrize("number", range(8))
-def test_a_gateway_that_has_all_callers_gets_a_turn(number: int) -> None:
-    """Whichever it is: the gateways that may send first have no callers."""
-    fleet = LimitFleet(29, 1, lambda one, now: 20.0 if one == number else 0.0)
+def test_a_gateway_that_has_all_callers_becomes_a_sender(number: int) -> None:
+    """The first senders have no callers, so the right to send must move on."""
+    fleet = LimitFleet(29, 1, lambda gateway, now: 20.0 if gateway == number else 0.0)
     fleet.per_s = 1.6
     fleet.run(90.0)
     assert any(at > 10.0 for at in fleet.sends)
--- a/tests/test_open_runs.py
+++ b/tests/test_open_runs.py
@@ -1,4 +1,4 @@
-"""What is known to have run at an upstream that ended."""
+"""Requests that are reported as running at an upstream that ended."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from gooseberrydale.process.gateway import upstreams as upstreams_module
 from gooseberrydale.request.fingerprint import fingerprint, shown
 from gooseberrydale.version.open_runs import (
-    MOST_BROKEN,
+    MAX_BROKEN_RUNS,
     NOTICED_S,
     LostRuns,
     OpenRuns,
@@ -25,7 +25,7 @@
 A, B = b"a" * 16, b"b" * 16
 
 
-def test_open_runs_are_told_once_and_apart_by_whether_they_were_answered() -> None:
+def test_open_runs_are_reported_once_and_separately_if_being_answered() -> None:
     runs = OpenRuns()
     runs.began(A)
     runs.began(B).answering = True
@@ -35,23 +35,23 @@
 
 
 @pytest.mark.parametrize(
-    ("found_s", "end", "told"),
+    ("detected_s", "end", "reported"),
     [
         (0.3, RunEnd.BROKE, (A,)),
-        (NOTICED_S, RunEnd.BROKE, ()),  # the end had nothing to do with it
-        (0.3, RunEnd.LEFT, (A,)),  # the upstream may have worked on
-        (0.3, RunEnd.ANSWERED, ()),  # the upstream outlived it
+        (NOTICED_S, RunEnd.BROKE, ()),  # too early to be caused by the end
+        (0.3, RunEnd.LEFT, (A,)),  # the upstream may have kept running it
+        (0.3, RunEnd.ANSWERED, ()),  # the run ended before the upstream
     ],
 )
-def test_a_run_that_broke_belongs_to_an_end_found_soon(
-    found_s: float, end: RunEnd, told: tuple[bytes, ...]
+def test_a_broken_run_is_attributed_to_an_end_detected_soon(
+    detected_s: float, end: RunEnd, reported: tuple[bytes, ...]
 ) -> None:
     runs = OpenRuns()
     runs.ended(runs.began(A), 5.0, end)
-    assert runs.over(5.0 + found_s) == LostRuns(waiting=told)
+    assert runs.over(5.0 + detected_s) == LostRuns(waiting=reported)
 
 
-def test_runs_that_break_after_the_end_are_told_then() -> None:
+def test_runs_that_break_after_the_end_are_reported_then() -> None:
     runs = OpenRuns()
     runs.over(1.0)
     runs.ended(runs.began(A), 1.2, RunEnd.BROKE)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("end", RunEnd)
-def test_a_broken_run_makes_its_upstream_doubtful_once(end: RunEnd) -> None:
+def test_a_broken_run_triggers_one_probe_of_its_upstream(end: RunEnd) -> None:
     runs = OpenRuns()
     runs.ended(runs.began(A), 1.0, end)
     assert runs.take_doubt() == (end is RunEnd.BROKE)
@@ -69,31 +69,31 @@
     assert not runs.take_doubt()
 
 
-def test_what_is_remembered_is_bounded() -> None:
+def test_the_number_of_broken_runs_is_bounded() -> None:
     runs = OpenRuns()
-    for number in range(2 * MOST_BROKEN):
+    for number in range(2 * MAX_BROKEN_RUNS):
         request = number.to_bytes(16, "big")
         runs.ended(runs.began(request), 1.0, RunEnd.BROKE)
-    assert len(runs.over(1.0).waiting) == MOST_BROKEN
+    assert len(runs.over(1.0).waiting) == MAX_BROKEN_RUNS
 
 
 CONTENT = ("west", "POST", "shop.example", "/calls/1?x=1", b"body")
 
 
 @pytest.mark.parametrize("place", range(len(CONTENT)))
-def test_a_request_is_named_by_all_of_its_content(place: int) -> None:
+def test_a_fingerprint_covers_all_content_of_a_request(place: int) -> None:
     changed: list[Any] = list(CONTENT)
     changed[place] = changed[place] + type(changed[place])(b"x" if place == 4 else "x")
     assert fingerprint(*changed) != fingerprint(*CONTENT)
     assert fingerprint(*CONTENT) == fingerprint(*CONTENT)
 
 
-def test_bytes_that_move_from_one_part_to_the_next_make_another_request() -> None:
+def test_bytes_that_move_between_fields_change_the_fingerprint() -> None:
     assert fingerprint("a", "bc", "", "", b"") != fingerprint("ab", "c", "", "", b"")
 
 
 @pytest.mark.parametrize("bystander", [False, True])
-def test_the_line_of_an_end_names_what_ran_there(
+def test_the_log_line_of_an_end_names_the_requests_that_ran(
     bystander: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[log_events.LogEvent] = []
@@ -101,8 +101,8 @@
     calls, streams = "/calls/1", "/streams/1"
 
     async def main() -> None:
-        # The stream lasts two seconds, as long as the default timeout: on a busy
-        # machine it would be cut, and so not be over.
+        # The stream takes two seconds, as long as the default timeout.  On a busy
+        # machine it would time out, and so not end by itself.
         stream = route(path_prefix="/streams/", streamed=True, name="s", timeout_s=10.0)
         routes = route(), stream
         async with deployment(declared(*routes), gateways=1, upstreams=1) as fleet:
@@ -116,13 +116,13 @@
             await other
 
     run(main())
-    ended = [one for one in lines if isinstance(one, log_events.UpstreamEnded)]
+    ended = [line for line in lines if isinstance(line, log_events.UpstreamEnded)]
     harmful = shown(fingerprint("a", "POST", HOST, calls, HARMFUL))
     slow = shown(fingerprint("a", "POST", HOST, streams, SLOW))
-    assert {one.upstream for one in ended} == {"u1"}
-    assert [name for one in ended for name in one.waiting] == [harmful]
-    told = [name for one in ended for name in one.answering]
-    assert told == ([slow] if bystander else [])
+    assert {line.upstream for line in ended} == {"u1"}
+    assert [name for line in ended for name in line.waiting] == [harmful]
+    answering = [name for line in ended for name in line.answering]
+    assert answering == ([slow] if bystander else [])
 
 
 def _collecting(
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""When an upstream from which nothing comes is asked, and taken for dead."""
+"""When an upstream that sends nothing is probed, and when it counts as dead."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from gooseberrydale.process.gateway import prober
 from gooseberrydale.process.gateway.upstreams import Upstreams
 from gooseberrydale.version.silence import (
-    IN_VAIN,
+    MAX_FAILED_PROBES,
+    OWN_PROBE_TRUST_S,
     SILENT_S,
-    TRUSTED_S,
     Silence,
 )
 from gooseberrydale.version.upstream_load import UpstreamLoad
@@ -33,23 +33,23 @@
 NEVER = float("-inf")
 
 
-def asked(silence: Silence, until: float, step_s: float = 0.1) -> list[float]:
-    """The moments at which the upstream is asked, looked at each ``step_s``."""
+def probed(silence: Silence, until: float, step_s: float = 0.1) -> list[float]:
+    """Return the times of probes if a probe is considered every ``step_s``."""
     moments = [round(n * step_s, 3) for n in range(round(until / step_s))]
     return [now for now in moments if silence.is_doubtful(now, NEVER)]
 
 
-def test_an_upstream_without_requests_is_never_asked() -> None:
-    assert asked(Silence(), 9.0) == []
+def test_an_upstream_without_requests_is_never_probed() -> None:
+    assert probed(Silence(), 9.0) == []
 
 
-def test_one_that_says_nothing_while_requests_are_open_is_asked() -> None:
+def test_an_upstream_that_is_silent_while_requests_are_open_is_probed() -> None:
     silence = Silence()
     silence.opened(0.0)
-    assert asked(silence, 1.0)[0] == pytest.approx(SILENT_S)
+    assert probed(silence, 1.0)[0] == pytest.approx(SILENT_S)
 
 
-def test_events_of_any_request_are_signs_of_incarnation() -> None:
+def test_events_of_any_request_show_that_the_upstream_runs() -> None:
     silence = Silence()
     silence.opened(0.0)
     for tenth in range(1, 50):
@@ -57,8 +57,8 @@
         assert not silence.is_doubtful(tenth / 10 + 0.09, NEVER)
 
 
-def test_a_live_but_silent_upstream_is_asked_now_and_then() -> None:
-    """An upstream that lets requests wait for long is asked ever less often."""
+def test_a_live_but_silent_upstream_is_probed_ever_less_often() -> None:
+    """An upstream that queues requests for long must not be flooded with probes."""
     silence = Silence()
     silence.opened(0.0)
     moments = []
@@ -68,19 +68,19 @@
             silence.reached(now)
     pauses = [after - at for at, after in zip(moments, moments[1:])]
     assert len(moments) <= 4 and pauses == sorted(pauses)
-    # It said something: the next silence is asked about as soon as the first.
+    # Bytes arrived: the next silence leads to a probe as early as the first one.
     silence.heard(4.0)
     assert silence.is_doubtful(4.0 + SILENT_S, NEVER)
 
 
-def test_one_question_in_vain_takes_nobody_for_dead() -> None:
+def test_a_single_failed_probe_declares_no_upstream_dead() -> None:
     silence = Silence()
     silence.opened(0.0)
-    answers = [silence.unanswered(0.3 * n) for n in range(IN_VAIN)]
-    assert answers == [False] * (IN_VAIN - 1) + [True]
+    verdicts = [silence.unanswered(0.3 * n) for n in range(MAX_FAILED_PROBES)]
+    assert verdicts == [False] * (MAX_FAILED_PROBES - 1) + [True]
 
 
-def test_what_may_be_repeated_is_broken_off_once() -> None:
+def test_registered_requests_are_aborted_once() -> None:
     silence, broken = Silence(), list[str]()
 
     def first() -> None:
@@ -96,17 +96,17 @@
     assert silence.give_up() == 0
 
 
-def test_others_are_believed_only_where_the_upstream_has_not_just_answered() -> None:
+def test_reports_by_others_are_ignored_just_after_a_successful_probe() -> None:
     silence = Silence()
     assert silence.doubt(0.0)
     assert silence.is_doubtful(0.0, NEVER)
     silence.reached(0.1)
-    assert not silence.doubt(0.1 + TRUSTED_S / 2)
-    assert silence.doubt(0.1 + 2 * TRUSTED_S)
+    assert not silence.doubt(0.1 + OWN_PROBE_TRUST_S / 2)
+    assert silence.doubt(0.1 + 2 * OWN_PROBE_TRUST_S)
 
 
-def test_one_left_alone_is_asked_before_its_time_is_over() -> None:
-    """Were it not, a request would have to find out, and be lost."""
+def test_an_avoided_upstream_is_probed_before_its_backoff_ends() -> None:
+    """Otherwise a request would be sent to find out, and lost."""
     load = UpstreamLoad()
     load.unreachable(0.0)
     until = load.suspect_until
@@ -119,7 +119,7 @@
 
 
 class DarkConn:
-    """Connections to upstreams without power never come about."""
+    """Connections that fail for the upstreams in ``dark``, as without power."""
 
     dark: ClassVar[set[str]] = set()
 
@@ -131,13 +131,13 @@
         return await HttpConn.open(address)
 
 
-async def hang(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """Take the request and say nothing."""
+async def never_answer(req: dict[str, str], body: bytes, writer: Writer) -> None:
+    """Accept the request and send nothing."""
     await asyncio.Event().wait()
 
 
-async def well(req: dict[str, str], body: bytes, writer: Writer) -> None:
-    """Answer as one should."""
+async def answer_normally(req: dict[str, str], body: bytes, writer: Writer) -> None:
+    """Answer correctly."""
     writer.write(answer_bytes(req["id"], b"done"))
 
 
@@ -145,14 +145,16 @@
 
 
 @pytest.mark.parametrize("dark", [True, False])
-def test_repeatable_requests_leave_the_dead_and_stay_with_the_slow(
+def test_repeatable_requests_leave_a_dead_upstream_but_not_a_slow_one(
     monkeypatch: pytest.MonkeyPatch, dark: bool
 ) -> None:
     """A silent upstream keeps its requests as long as it grants connections."""
     monkeypatch.setattr(prober, "HttpConn", DarkConn)
 
     async def main() -> None:
-        first, other = RawUpstream("u1", hang), RawUpstream("u2", well)
+        first, other = RawUpstream("u1", never_answer), RawUpstream(
+            "u2", answer_normally
+        )
         document = declared(route(), SAFE)
         async with running_gateway(document, first, other) as gateway:
             DarkConn.dark = {first.address} if dark else set()
@@ -165,7 +167,7 @@
             assert first.requests and other.requests
             assert len(done) == (6 if dark else len(other.requests))
             assert all(task.result().status == 200 for task in done)
-            # Nobody is sent to the dead one to find out whether it is back.
+            # No request is sent to the dead upstream to find out whether it is back.
             seen = len(first.requests)
             if dark:
                 for n in range(10):
@@ -180,10 +182,10 @@
 
 
 @pytest.mark.parametrize("ending", ["broken", "answered"])
-def test_how_an_earlier_incarnation_ends_its_request_says_nothing_of_the_next(
+def test_a_late_end_at_an_earlier_incarnation_does_not_count_for_the_next(
     ending: str,
 ) -> None:
-    """An upstream starts again under its name while a request of before is open."""
+    """An upstream restarts under its name while an earlier request is open."""
 
     async def main() -> None:
         over = asyncio.Event()
@@ -201,7 +203,7 @@
             while not upstream.requests:
                 await asyncio.sleep(0.01)
             upstreams = gateway._upstreams
-            # What is known of an incarnation goes with it.
+            # The load of an incarnation is dropped with it.
             del upstreams._loads["u1"]
             later = upstreams.load_of("u1")
             later.unreachable(asyncio.get_running_loop().time())
@@ -213,16 +215,16 @@
     run(main())
 
 
-def test_a_question_to_an_earlier_incarnation_says_nothing_of_the_next(
+def test_a_probe_of_an_earlier_incarnation_does_not_count_for_the_next(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The answer comes once another incarnation bears the name."""
+    """The probe fails after the upstream has restarted under its name."""
 
     async def main() -> None:
         loads = {"u1": UpstreamLoad()}
         later = UpstreamLoad()
 
-        class Lives:
+        class IncarnationRecorder:
             def __init__(self) -> None:
                 self.over: list[UpstreamLoad] = []
 
@@ -241,12 +243,12 @@
                 raise UpstreamError("no connection in time", sent=False)
 
         monkeypatch.setattr(prober, "HttpConn", LateConn)
-        asked = loads["u1"]
-        asked.silence.unanswered(0.0)
-        incarnations = Lives()
+        probed = loads["u1"]
+        probed.silence.unanswered(0.0)
+        incarnations = IncarnationRecorder()
         upstreams = cast(Upstreams, incarnations)
         await prober.Prober(upstreams, lambda: None)._ask(record("u1"))
-        assert (asked.failures, later.failures) == (1, 0)
-        assert incarnations.over == [asked]
+        assert (probed.failures, later.failures) == (1, 0)
+        assert incarnations.over == [probed]
 
     asyncio.run(main())
--- a/tests/test_upstream_incarnations.py
+++ b/tests/test_upstream_incarnations.py
@@ -1,4 +1,4 @@
-"""Upstreams that start again under their name, and announcements of other writers."""
+"""Upstreams that restart under their name, and malformed announcements."""
 
 from __future__ import annotations
 
@@ -33,23 +33,26 @@
 BORN = 1_790_000_000_000
 
 
-class SaysBorn:
-    """Engines that tell when they started, and how often they were asked."""
+class StubEngines:
+    """Engines that report their start time; counts how often they are asked.
+
+    Engines named in ``stopped`` do not answer.
+    """
 
     def __init__(self, born: int) -> None:
         self.born = born
         self.asked = 0
-        self.gone: set[str] = set()
+        self.stopped: set[str] = set()
 
     async def report(self, engine: UpstreamRecord) -> EngineReport | None:
         self.asked += 1
-        if engine.name in self.gone:
+        if engine.name in self.stopped:
             return None
         return EngineReport({"m": 3}, 0, False, born_ms=self.born)
 
 
 class Fleet:
-    """Control's calls over one directory."""
+    """Control's HTTP interface over one directory."""
 
     def __init__(self, engines: Any = None) -> None:
         self.directory = Directory()
@@ -69,31 +72,31 @@
         return (await self.client.post(path, content=content)).status_code
 
     def known(self, name: str = "e") -> UpstreamRecord:
-        found = self.directory.get(name, asyncio.get_running_loop().time())
-        assert found is not None
-        return found
+        known = self.directory.get(name, asyncio.get_running_loop().time())
+        assert known is not None
+        return known
 
 
 def play(scenario: Callable[[Fleet], Coroutine[Any, Any, None]], born: int = 0) -> None:
     async def main() -> None:
-        await scenario(Fleet(SaysBorn(born)))
+        await scenario(Fleet(StubEngines(born)))
 
     run_paused(main())
 
 
-def test_an_upstream_that_starts_again_under_its_name_is_known_at_once() -> None:
+def test_a_restarted_upstream_replaces_its_earlier_incarnation() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(40, born=BORN, models=[{"name": "m", "version": 5}])
         await fleet.beat(1, born=BORN + 1, models=[{"name": "m", "version": 4}])
         assert (fleet.known().weights_version, fleet.known().ready) == ("4", True)
-        # What the incarnation before said, and says late, changes nothing.
+        # A late announcement of the earlier incarnation changes nothing.
         await fleet.beat(41, born=BORN, state="draining")
         assert (fleet.known().weights_version, fleet.known().leaving) == ("4", False)
 
     play(scenario, born=BORN + 1)
 
 
-def test_a_incarnation_that_has_left_does_not_keep_the_next_one_out() -> None:
+def test_an_incarnation_that_has_left_does_not_exclude_the_next_one() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(7, born=BORN)
         await fleet.client.post("/v1/Instances.Deregister/e", content=b"{}")
@@ -106,7 +109,7 @@
     play(scenario)
 
 
-def test_the_upstream_says_which_incarnation_runs_after_its_clock_was_set_back():
+def test_the_upstream_reports_which_incarnation_runs_after_a_clock_change():
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(30, born=BORN)
         await fleet.beat(1, born=BORN - 2_000, models=[{"name": "m", "version": 2}])
@@ -118,21 +121,21 @@
     play(scenario, born=BORN - 2_000)
 
 
-def test_who_began_before_at_an_address_has_ended() -> None:
+def test_an_earlier_upstream_at_the_same_address_counts_as_ended() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(9, name="a", born=BORN)
         await fleet.beat(9, name="far", born=BORN, address="10.0.0.8:1")
-        fleet.engines.gone = {"a"}
+        fleet.engines.stopped = {"a"}
         await fleet.beat(1, name="b", born=BORN + 900)
         await asyncio.sleep(0.1)
         assert fleet.known("a").leaving
         assert fleet.known("b").ready and fleet.known("far").ready
-        # One that was under way since before its end takes nobody's place.
+        # An announcement sent before the end of its upstream replaces no other one.
         await fleet.beat(10, name="a", born=BORN)
         await asyncio.sleep(0.1)
         assert fleet.known("a").leaving and fleet.known("b").ready
-        # Nor does one whose clock ran ahead before it ended.
-        fleet.engines.gone = {"a", "c"}
+        # Nor does that of an ended upstream whose clock was fast.
+        fleet.engines.stopped = {"a", "c"}
         await fleet.beat(5, name="c", born=BORN + 9_000)
         await asyncio.sleep(0.1)
         assert fleet.known("b").ready
@@ -140,7 +143,7 @@
     play(scenario)
 
 
-def test_a_late_announcement_of_an_earlier_incarnation_does_not_come_back() -> None:
+def test_a_late_announcement_of_an_earlier_incarnation_is_ignored() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(2, born=BORN)
         await fleet.beat(90, born=BORN - 2_000, state="draining")
@@ -150,7 +153,7 @@
     play(scenario, born=BORN)
 
 
-def test_weights_told_by_a_new_incarnation_count_before_it_announces_itself() -> None:
+def test_weights_of_a_new_incarnation_count_before_its_announcement() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(30, born=BORN, models=[{"name": "m", "version": 2}])
         fleet.announcements.has_weights("e", "3", BORN + 5)
@@ -163,7 +166,7 @@
     play(scenario, born=BORN + 5)
 
 
-FOREIGN = {
+MALFORMED = {
     "a field is missing": {"address": None},
     "an unknown state": {"state": "dancing"},
     "a number as text": {"seq": "seven"},
@@ -176,24 +179,24 @@
 }
 
 
-@pytest.mark.parametrize("case", FOREIGN)
-def test_a_foreign_announcement_names_nobody_and_spoils_nothing(case: str) -> None:
+@pytest.mark.parametrize("case", MALFORMED)
+def test_a_malformed_announcement_is_refused_without_effect(case: str) -> None:
     async def scenario(fleet: Fleet) -> None:
         assert await fleet.beat(3, born=BORN) == 200
         before = fleet.known()
-        assert await fleet.beat(**{"seq": 9, "born": BORN, **FOREIGN[case]}) == 400
-        assert await fleet.beat(**{"seq": 9, "name": "f", **FOREIGN[case]}) == 400
+        assert await fleet.beat(**{"seq": 9, "born": BORN, **MALFORMED[case]}) == 400
+        assert await fleet.beat(**{"seq": 9, "name": "f", **MALFORMED[case]}) == 400
         assert fleet.known() == before
         now = asyncio.get_running_loop().time()
-        assert [one.name for one in fleet.directory.records(now)] == ["e"]
+        assert [record.name for record in fleet.directory.records(now)] == ["e"]
 
     play(scenario)
 
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=9),
-    lambda some: st.lists(some, max_size=3)
-    | st.dictionaries(st.text(max_size=9), some, max_size=3),
+    lambda values: st.lists(values, max_size=3)
+    | st.dictionaries(st.text(max_size=9), values, max_size=3),
     max_leaves=9,
 )
 KEYS = ("service", "address", "zone", "seq", "slots", "state", "born", "models")
@@ -201,7 +204,7 @@
 
 
 @given(st.binary(max_size=60) | BEATS.map(lambda fields: wire.beat_bytes(**fields)))
-def test_no_announcement_breaks_the_others(content: bytes) -> None:
+def test_no_announcement_affects_other_upstreams(content: bytes) -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(3, name="other", born=BORN)
         assert await fleet.beat_of(content) in (200, 400)
@@ -219,9 +222,9 @@
 
 
 @given(st.binary(max_size=60) | DOCUMENTS.map(lambda fields: wire.body(**fields)))
-def test_every_document_is_read_or_refused(content: bytes) -> None:
-    found = decode_document(content)
-    assert found.is_ok() or found.is_err()
+def test_every_document_is_decoded_or_refused(content: bytes) -> None:
+    result = decode_document(content)
+    assert result.is_ok() or result.is_err()
 
 
 HEADER = st.tuples(
@@ -236,18 +239,20 @@
 
 
 @given(st.lists(HEADER, max_size=6))
-def test_every_head_is_read_or_refused(headers: list[tuple[bytes, bytes]]) -> None:
-    found = PlatformWire().read_call("POST", b"/a", tuple(headers))
-    assert found.is_ok() or found.is_err()
+def test_every_request_head_is_decoded_or_refused(
+    headers: list[tuple[bytes, bytes]],
+) -> None:
+    result = PlatformWire().read_call("POST", b"/a", tuple(headers))
+    assert result.is_ok() or result.is_err()
     PlatformWire().read_answer(200, tuple(headers))
 
 
 @given(st.lists(JSON, max_size=5))
-def test_unreadable_events_of_a_store_do_not_hide_the_others(items: list[Any]) -> None:
-    good = [7, "+", "salt", "part", 800, "m"]
-    table = {"bootEpoch": 1, "next": 9, "lost": False, "events": [*items, good]}
-    found = msgspec.json.decode(msgspec.json.encode(table), type=_Events)
-    assert tuple(good) in _readable("s", found.events, _read_event)
+def test_malformed_store_events_do_not_affect_the_others(items: list[Any]) -> None:
+    valid = [7, "+", "salt", "part", 800, "m"]
+    table = {"bootEpoch": 1, "next": 9, "lost": False, "events": [*items, valid]}
+    decoded = msgspec.json.decode(msgspec.json.encode(table), type=_Events)
+    assert tuple(valid) in _readable("s", decoded.events, _read_event)
     held = {"bootEpoch": 1, "next": 9, "held": [*items, ["salt", "part", 8, "m"]]}
     listed = msgspec.json.decode(msgspec.json.encode(held), type=_List)
     assert ("salt", "part", 8, "m") in _readable("s", listed.held, _read_held)
@@ -257,7 +262,7 @@
 
 
 @given(st.lists(MOMENTS, min_size=1, max_size=6))
-def test_incarnations_that_ran_one_after_the_other_sort_in_that_order(
+def test_incarnations_sort_in_the_order_in_which_they_ran(
     moments: list[int],
 ) -> None:
     incarnations = [incarnation_name(moments[0])]
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -1,4 +1,4 @@
-"""Upstreams that limit the rate of requests that they take from all gateways."""
+"""Upstreams that announce a limit on the rate of requests from all gateways."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 8])
-def test_a_limited_upstream_gets_no_more_than_it_takes(gateways: int) -> None:
+def test_a_limited_upstream_gets_no_more_requests_than_its_limit(gateways: int) -> None:
     async def main() -> None:
         limited, other = LimitedUpstream("u1"), LimitedUpstream("u2")
         async with deployment(declared(), limited, other, gateways=gateways) as fleet:
@@ -53,12 +53,12 @@
             limited.limit_per_s = 1.6
             await fleet.load(per_s=40.0, for_s=8.0)
         assert set(fleet.statuses) == {200}
-        assert limited.most_when_bound() <= allowed(1.6)
+        assert limited.most_in_bound_window() <= allowed(1.6)
 
     run(main())
 
 
-def test_a_gateway_that_has_just_started_hears_of_a_limit_before_it_sends() -> None:
+def test_a_gateway_that_has_just_started_receives_a_limit_before_it_sends() -> None:
     async def main() -> None:
         limited, other = LimitedUpstream("u1", limit_per_s=20.0), LimitedUpstream("u2")
         async with deployment(declared(), limited, other, gateways=3) as fleet:
@@ -71,7 +71,7 @@
     run(main())
 
 
-def test_who_can_not_be_served_in_time_is_refused_at_once() -> None:
+def test_a_request_beyond_the_limit_is_refused_without_delay() -> None:
     async def main() -> None:
         limited = LimitedUpstream("u1", limit_per_s=0.3)
         async with running_gateway(declared(), limited.server, gateways=1) as gateway:
@@ -88,19 +88,19 @@
     run(main())
 
 
-def test_a_request_waits_for_a_turn_that_comes_soon() -> None:
+def test_a_request_waits_if_the_limit_soon_allows_it() -> None:
     async def main() -> None:
         limited = LimitedUpstream("u1", limit_per_s=4.0)
         async with running_gateway(declared(), limited.server, gateways=1) as gateway:
-            found = [await call(gateway, request_id=f"r{n}") for n in range(3)]
-            assert [got.status for got in found] == [200, 200, 200]
+            answers = [await call(gateway, request_id=f"r{n}") for n in range(3)]
+            assert [got.status for got in answers] == [200, 200, 200]
             first, second, _ = limited.arrivals
             assert second - first >= 0.2
 
     run(main())
 
 
-def test_a_failure_is_passed_on_if_the_other_upstreams_are_limited() -> None:
+def test_a_failure_is_returned_if_the_other_upstreams_are_limited() -> None:
     async def fail(req: dict[str, str], body: bytes, writer: Writer) -> None:
         writer.write(answer_bytes(req["id"], b"broken", "500 Internal Server Error"))
 
