--- a/gooseberrydale/version/ended_incarnations.py
+++ b/gooseberrydale/version/ended_incarnations.py
@@ -115,7 +115,7 @@
         # Time of the last complete answer of each request here, the latest at the end.
         self._answered: OrderedDict[bytes, float] = OrderedDict()
         self._size = 0
-        # A session that has sent nothing yet is at version 0.
+        # Above 0, the version of a session that has sent nothing yet.
         self._version = 1
         self._listeners: list[Listener] = []
 
--- a/gooseberrydale/version/peer_loads.py
+++ b/gooseberrydale/version/peer_loads.py
@@ -145,9 +145,9 @@
         """
         return 0.0 if self._areas else self._unreported_ratio
 
-    def note_unheard(self, gateways: int, heard: int) -> None:
+    def note_unheard(self, gateways: int, reporting: int) -> None:
         """Record how many other gateways do not report here, and how many do."""
-        self._unreported_ratio = gateways / max(1, heard)
+        self._unreported_ratio = gateways / max(1, reporting)
 
     def take(self, report: WorkReport, now: float) -> bool:
         """Merge a report; return False if a newer one of that gateway was merged."""
--- a/gooseberrydale/version/quotas/ledger.py
+++ b/gooseberrydale/version/quotas/ledger.py
@@ -125,7 +125,8 @@
 
     ``left`` is what the bucket holds at first.  ``recently_started`` is True if that is
     less than the whole burst because the process has recently started, and the spending
-    before its start is unknown."""
+    before its start is unknown.
+    """
 
     def __init__(
         self, quota: Quota, left: float, now: float, *, recently_started: bool = False
@@ -143,7 +144,7 @@
         self._slot_use_fraction = 1.0
         self._short_since = -math.inf
         self._checked_at = -math.inf
-        # Start of the current run of asks; another owner may have decided before it.
+        # Start of the current series of asks; before it another owner may have decided.
         self._asked_since = self._asked_at = -math.inf
         self._reserved_fraction = 0.0
         # Recent spending of all active gateways, recomputed at each silence check.
@@ -249,7 +250,7 @@
         return Verdict(False, after_s)
 
     def is_recently_started(self, now: float) -> bool:
-        """Return whether the other owner may have more complete counts."""
+        """Return whether the counts may be incomplete after a start."""
         return now < self._recently_started_until
 
     def _release_slot(self, request: bytes, *, used: bool) -> None:
--- a/tests/builders_quotas.py
+++ b/tests/builders_quotas.py
@@ -138,7 +138,8 @@
     """A fleet of gateways, the quotas in force, and all grants and refusals.
 
     ``wide`` is the number of gateways with a wide link, which may own counts;
-    ``late`` has the time that each decision took."""
+    ``late`` has the time that each decision took.
+    """
 
     seed: int
     size: int = 29
