--- a/gooseberrydale/process/control/__init__.py
+++ b/gooseberrydale/process/control/__init__.py
@@ -1,4 +1,4 @@
-"""The control role: replicated state, its operators' interface, and orders."""
+"""The control role: replicated state, the operators' interface, and orders."""
 
 from gooseberrydale.process.control.control import Control
 
--- a/gooseberrydale/process/control/announcements.py
+++ b/gooseberrydale/process/control/announcements.py
@@ -1,7 +1,8 @@
-"""Takes in what upstreams without a sidecar announce of themselves.
+"""Accepts the announcements of upstreams that have no sidecar.
 
-Lives as long as the process.  The records go into the directory, whose sessions carry
-them to all other processes; an upstream may announce itself to any replica.
+Each process has one. The records are stored in the directory, and mesh sessions
+propagate them to all other processes, so an upstream may announce itself to any
+replica.
 """
 
 from __future__ import annotations
@@ -27,69 +28,75 @@
     incarnation_told,
 )
 
-BEATS_PER_LEASE = 15
-"""Announcements that may be missed in a row before an upstream is forgotten; entries
-hear of each seventh or so.
+HEARTBEATS_PER_LEASE = 15
+"""Announcements that may be missed in a row before an upstream is removed. Entries
+receive only about every seventh one.
 
-Entries find a dead upstream by themselves, within one request; a longer lease costs
-little, and a shorter one would forget live upstreams while replicas are away."""
+Entries detect a dead upstream by themselves, within one request, so a long lease costs
+little. A shorter one would remove live upstreams while replicas are unavailable."""
 
-STEPS_PER_BEAT = 1_000
-"""Room between two announcements for news that control has of the upstream itself."""
+SEQS_PER_HEARTBEAT = 1_000
+"""Sequence numbers per announcement. The ones between two announcements are for records
+that control itself writes about the upstream."""
 
-LAST_SEQ = 2**62
-"""Stands after every announcement of an incarnation that has ended."""
+FINAL_SEQ = 2**62
+"""Higher than the sequence number of any announcement; marks an ended incarnation."""
 
 
 class Announcements:
-    """The directory as upstreams and control itself write to it."""
+    """Writes the records of upstreams to the directory."""
 
     def __init__(
         self, directory: Directory, beat_s: float, engines: EngineOrders | None = None
     ) -> None:
-        """``engines`` are asked which of two incarnations is the later one."""
+        """``engines`` are polled to find the newer one of two incarnations."""
         self._directory = directory
-        self._lease_s = beat_s * BEATS_PER_LEASE
+        self._lease_s = beat_s * HEARTBEATS_PER_LEASE
         self._engines = engines
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        self._checks: dict[str, asyncio.Task[None]] = {}
 
     async def close(self) -> None:
-        """Ask nobody any more."""
-        await stop(list(self._asking.values()))
+        """Cancel the running checks."""
+        await stop(list(self._checks.values()))
 
     def renew(self, record: UpstreamRecord, born: int | None = None) -> None:
-        """Take an announcement in; older ones change nothing.
+        """Store an announcement unless the stored record is newer.
 
-        ``born`` is the start of the incarnation that it is from, in Unix milliseconds.
+        ``born`` is the start of the announcing incarnation, in Unix milliseconds.
         """
-        seq = record.seq * STEPS_PER_BEAT
+        seq = record.seq * SEQS_PER_HEARTBEAT
         record = replace(record, seq=seq, lease_s=self._lease_s)
         known = self._directory.newest_incarnation(record.name)
         incarnation = incarnation_told(known, born)
         if incarnation is None:
             emit(EarlierIncarnation(record.name, born or 0, born_ms(known) or 0))
-            self._ask(record, born)
+            self._check_clock(record, born)
             return
         if known and incarnation != known:
             emit(UpstreamReborn(record.name, born or 0, born_ms(known) or 0))
         self._offer(replace(record, incarnation=incarnation))
-        self._ask_earlier(record, incarnation)
+        self._check_predecessors(record, incarnation)
 
     def retire(self, name: str) -> None:
-        """The incarnation of an upstream under ``name`` takes no new work any more."""
+        """Mark the current incarnation of the upstream ``name`` as leaving for good.
+
+        It receives no new work.
+        """
         now = asyncio.get_running_loop().time()
-        known = self._directory.get(name, now) or _unknown(
+        known = self._directory.get(name, now) or _placeholder(
             name, self._directory.newest_incarnation(name)
         )
         emit(UpstreamRetired(name))
         self._offer(
-            replace(known, seq=LAST_SEQ, ready=False, leaving=True, lease_s=MAX_LEASE_S)
+            replace(
+                known, seq=FINAL_SEQ, ready=False, leaving=True, lease_s=MAX_LEASE_S
+            )
         )
 
     def has_weights(self, name: str, version: str, born: int | None = None) -> None:
-        """Let all know that an upstream serves other weights than it announced.
+        """Record that an upstream serves other weights than it announced.
 
-        ``born`` is the start of the incarnation that said so, None if it did not tell.
+        ``born`` is the start of the incarnation that reported them, None if unknown.
         """
         now = asyncio.get_running_loop().time()
         known = self._directory.get(name, now)
@@ -101,50 +108,61 @@
             else incarnation_after(known.incarnation, born)
         )
         if incarnation != known.incarnation:
-            # Its own announcements come after this record.
+            # Sequence number 0 lets the incarnation's own announcements replace this
+            # record.
             self._offer(
                 replace(known, incarnation=incarnation, seq=0, weights_version=version)
             )
         elif known.weights_version != version:
             self._offer(replace(known, seq=known.seq + 1, weights_version=version))
 
-    def _ask_earlier(self, record: UpstreamRecord, incarnation: str) -> None:
-        """Ask upstreams that began before at the same address whether they are there.
+    def _check_predecessors(self, record: UpstreamRecord, incarnation: str) -> None:
+        """Retire dead upstreams that started earlier at the same address.
 
-        Until their lease is over they would draw sends that are refused, and the turns
-        of live ones in a change of weights: ten seconds after a crash.  Their start
-        alone does not tell: clocks are set back, and announcements come late.
+        After a crash such a record remains until its lease expires, for ten seconds.
+        Until then it would attract requests that are refused, and be counted as an
+        engine to change during a weights rollout. The start times alone don't prove
+        that the upstream has ended: clocks are set back, and announcements arrive late.
         """
         if self._engines is None or not incarnation:
             return
         now = asyncio.get_running_loop().time()
         for other in self._directory.records(now):
-            same = other.address == record.address and other.name != record.name
-            if same and not other.leaving and "" < other.incarnation < incarnation:
-                self._begin_asking(other.name, self._end(self._engines, other))
-
-    async def _end(self, engines: EngineOrders, upstream: UpstreamRecord) -> None:
-        """Retire an upstream unless it answers under its own name."""
+            same_address = other.address == record.address and other.name != record.name
+            if (
+                same_address
+                and not other.leaving
+                and "" < other.incarnation < incarnation
+            ):
+                self._start_check(
+                    other.name, self._retire_if_ended(self._engines, other)
+                )
+
+    async def _retire_if_ended(
+        self, engines: EngineOrders, upstream: UpstreamRecord
+    ) -> None:
+        """Retire ``upstream`` unless it answers under its own name."""
         if await engines.report(upstream) is None:
             self.retire(upstream.name)
 
-    def _ask(self, record: UpstreamRecord, born: int | None) -> None:
-        """Find out from the upstream itself whether its clock was set back."""
+    def _check_clock(self, record: UpstreamRecord, born: int | None) -> None:
+        """Ask the upstream itself whether its clock was set back."""
         if self._engines is not None:
-            asking = self._settle(self._engines, record, born)
-            self._begin_asking(record.name, asking)
+            check = self._accept_if_confirmed(self._engines, record, born)
+            self._start_check(record.name, check)
 
-    def _begin_asking(self, name: str, asking: Coroutine[Any, Any, None]) -> None:
-        """Run one question about ``name``; a second one meanwhile is dropped."""
-        if name in self._asking:
-            asking.close()
+    def _start_check(self, name: str, check: Coroutine[Any, Any, None]) -> None:
+        """Run a check of ``name`` unless one is running already."""
+        if name in self._checks:
+            check.close()
             return
-        task = self._asking[name] = spawn(asking)
-        task.add_done_callback(lambda _: self._asking.pop(name, None))
+        task = self._checks[name] = spawn(check)
+        task.add_done_callback(lambda _: self._checks.pop(name, None))
 
-    async def _settle(
+    async def _accept_if_confirmed(
         self, engines: EngineOrders, record: UpstreamRecord, born: int | None
     ) -> None:
+        """Accept ``record`` if the upstream confirms that it started at ``born``."""
         report = await engines.report(record)
         if report is None or report.born_ms != born:
             return
@@ -157,8 +175,8 @@
         self._directory.offer(record, asyncio.get_running_loop().time())
 
 
-def _unknown(name: str, incarnation: str) -> UpstreamRecord:
-    """Stands for an upstream that this replica has not heard of."""
+def _placeholder(name: str, incarnation: str) -> UpstreamRecord:
+    """Return a placeholder for an upstream of which this replica has no record."""
     return UpstreamRecord(
         name=name,
         incarnation=incarnation,
--- a/gooseberrydale/process/control/control.py
+++ b/gooseberrydale/process/control/control.py
@@ -1,8 +1,8 @@
-"""The control role: one process of it, from ``start`` to ``close``.
+"""One process of the control role, from ``start`` to ``close``.
 
-Lives as long as the process.  It owns the gRPC listener for the system's own
-processes, the HTTP listener for operators, and the tasks in between; what is
-committed lives in the state machine behind the proposer.
+It owns the gRPC listener for other processes of the system, the HTTP listener for
+operators, and the tasks that connect them. Committed data is held by the state machine
+behind the proposer.
 """
 
 from __future__ import annotations
@@ -29,13 +29,13 @@
 from gooseberrydale.process.control.ended_incarnations_cache import (
     EndedIncarnationsCache,
 )
-from gooseberrydale.process.control.first_start import begin_together
+from gooseberrydale.process.control.first_start import init_shared_log
 from gooseberrydale.process.control.folder_lock import FolderLock
 from gooseberrydale.process.control.group_commit import GroupCommit
 from gooseberrydale.process.control.machine import PublishingMachine
 from gooseberrydale.process.control.operator_api import OperatorApi
 from gooseberrydale.process.control.operator_auth import OperatorTokens, load_operators
-from gooseberrydale.process.control.operator_views import plain
+from gooseberrydale.process.control.operator_views import to_builtins
 from gooseberrydale.process.control.order_sender import OrderSender
 from gooseberrydale.process.control.propose_service import ProposeService
 from gooseberrydale.process.control.proposer import (
@@ -66,27 +66,28 @@
 from gooseberrydale.version.replication.core import RaftCfg
 
 if TYPE_CHECKING:
-    from gooseberrydale.process.control.measures import Measures
+    from gooseberrydale.process.control.measures import ControlMetrics
     from gooseberrydale.process.metrics import Metrics
 
 HTTP_GRACE_S = 5.0
 RPC_GRACE_S = 1.0
-# Times of the log of an open group in seconds: its replicas are milliseconds apart, and
-# upstreams wait for a leader.  A replica that is held up for half a second loses the
-# lead; between regions the defaults of the log are right.
+# Timings of the Raft log of an open group, in seconds. Its replicas are milliseconds
+# apart and upstreams wait for a leader, so they are shorter than the defaults, which
+# suit replicas in different regions. A leader that is stalled for half a second loses
+# the leadership.
 OPEN_HEARTBEAT_S = 0.12
 OPEN_ELECTION_MIN_S = 0.5
 OPEN_ELECTION_MAX_S = 0.9
 OPEN_LEASE_S = 0.4
-MEMORY_STATUS = {"replicated": False}
+IN_MEMORY_STATUS = {"replicated": False}
 
 
 @dataclass(frozen=True, slots=True)
 class Surroundings:
-    """How a deployment speaks to control and is spoken to, if not in our own way.
+    """Replaces the operators' interface and the transport of orders for one deployment.
 
-    ``make_app`` builds the interface for operators and upstreams that announce
-    themselves; ``engines`` carries orders to upstreams that have no sidecar.
+    ``make_app`` builds the HTTP application for operators and for upstreams that
+    announce themselves; ``engines`` sends orders to upstreams that have no sidecar.
     """
 
     make_app: Callable[[Documents, Announcements], ASGIApp]
@@ -94,12 +95,12 @@
 
 
 class Control:
-    """One control process; build it, ``start`` it once, ``close`` it once.
+    """One control process; ``start`` it once and ``close`` it once.
 
-    ``in_memory`` keeps the state in this process alone; ``declarations`` is then
-    the configuration to begin with, and ``operators`` the digests of the tokens by
-    operator, in place of the file that the settings name.  ``surroundings`` replace
-    the operators' interface and the orders that go by way of sidecars.
+    With ``in_memory`` the state is held in this process alone. ``declarations`` is then
+    the initial configuration, and ``operators`` maps operators to the digests of their
+    tokens, replacing the file that the settings name. ``interface`` replaces the
+    operators' interface and the orders that are sent through sidecars.
     """
 
     def __init__(
@@ -109,26 +110,31 @@
         in_memory: bool = False,
         declarations: Config | None = None,
         operators: Mapping[str, str] | None = None,
-        surroundings: Surroundings | None = None,
+        interface: Surroundings | None = None,
     ) -> None:
         if cfg.control is None:
-            raise InvariantError("the control role was built without its settings")
+            raise InvariantError(
+                "the control role needs settings; add a [control] table"
+            )
         if declarations is not None and not in_memory:
-            raise InvariantError("declarations given for a replicated control")
+            raise InvariantError(
+                "declarations need in_memory=True; a replicated control has its own"
+            )
         own = cfg.control
         self._data_dir = own.data_dir
         self._own_rpc = own.rpc
         self._seeds = cfg.fleet.control_rpc
-        # Others than the seeds join the cluster that the seeds begin.
+        # Only seeds create the cluster; all other replicas join it.
         self._bootstrap = own.bootstrap and own.rpc in self._seeds
         self._folder_lock: FolderLock | None = None
         token = read_token(cfg.fleet.token_file)
         tls = tls_files(cfg.fleet.tls)
         self.store = ConfigStore()
         self.state = ControlState(declarations)
-        # Upstreams that announce themselves have leases long enough for it.
-        part = PASSED_RENEWAL_PART if own.open_group else 0.0
-        self.directory = Directory(renewal_part=part)
+        # In an open group upstreams announce themselves, and their leases are long
+        # enough to propagate only some of the renewals.
+        propagation_fraction = PASSED_RENEWAL_PART if own.open_group else 0.0
+        self.directory = Directory(renewal_part=propagation_fraction)
         self.ended_incarnations = EndedIncarnations()
         self._ended_cache: EndedIncarnationsCache | None = None
         if not in_memory:
@@ -142,10 +148,11 @@
         self._proposer = self._make_proposer()
         self._acknowledgements = Acknowledgements()
         self._mesh = self._make_mesh(cfg, token)
-        # Of the deployments with surroundings, few ask for a listener.
-        measured = surroundings is None or bool(cfg.metrics.http)
-        self._measures = self._make_measures(cfg) if measured else None
-        on_answer = None if self._measures is None else self._measures.answered
+        # With a deployment interface, metrics are collected only if the settings ask
+        # for a metrics listener.
+        has_metrics = interface is None or bool(cfg.metrics.http)
+        self._metrics = self._make_metrics(cfg) if has_metrics else None
+        on_answer = None if self._metrics is None else self._metrics.record_outcome
         self._commit = GroupCommit(self._proposer, on_answer=on_answer)
         limits = limits_of(own)
         self._upkeep = Upkeep(self.state, self._proposer, self._commit, limits)
@@ -159,7 +166,7 @@
             self._commit,
             OperatorTokens(_operators(own, operators)),
             self._acknowledgements,
-            self._announced,
+            self._upstream_records,
             self._replica_status,
             self.ended_incarnations,
         )
@@ -169,19 +176,19 @@
         self._announcements: Announcements | None = None
         self._upstream_cache: UpstreamCache | None = None
         app: ASGIApp = self._api.app
-        if surroundings is not None:
+        if interface is not None:
             announcements = self._announcements = Announcements(
-                self.directory, own.beat_s, surroundings.engines
+                self.directory, own.beat_s, interface.engines
             )
-            app = surroundings.make_app(self._documents, announcements)
-            self._rollout = self._make_rollout(cfg, own, announcements, surroundings)
+            app = interface.make_app(self._documents, announcements)
+            self._rollout = self._make_rollout(cfg, own, announcements, interface)
             path = own.data_dir / "upstreams"
             self._upstream_cache = UpstreamCache(path, self.directory)
         self._http = HttpServer(app, own.http, own.tls)
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Listeners by name, known once started."""
+        """Addresses of the listeners by name; valid once started."""
         return {
             "rpc": f"{self._rpc_host}:{self._rpc.port}",
             "http": self._http.address,
@@ -189,8 +196,8 @@
 
     @property
     def metrics(self) -> Metrics | None:
-        """The instruments of this process, if any."""
-        return None if self._measures is None else self._measures.metrics
+        """Metrics of this process; None if it collects none."""
+        return None if self._metrics is None else self._metrics.metrics
 
     async def start(self) -> None:
         """Bind the listeners and serve; raises OSError if an address is taken.
@@ -201,7 +208,7 @@
         if self._replica is not None:
             self._folder_lock = FolderLock(self._data_dir)
             if self._bootstrap:
-                begin_together(self._data_dir, self._own_rpc, self._seeds)
+                init_shared_log(self._data_dir, self._own_rpc, self._seeds)
             await self._replica.start()
             self._tasks.append(spawn(self._watch_replica(self._replica)))
         if self._upstream_cache is not None:
@@ -216,15 +223,15 @@
         await self._orders.start()
         if self._rollout is not None:
             await self._rollout.start()
-        if self._measures is not None:
-            await self._measures.start()
+        if self._metrics is not None:
+            await self._metrics.start()
 
     async def close(self) -> None:
-        """Take no new changes, answer the open requests, then stop."""
+        """Accept no new changes, answer the open requests, then stop."""
         self._api.draining = True
         await self._http.close(HTTP_GRACE_S)
-        if self._measures is not None:
-            await self._measures.close()
+        if self._metrics is not None:
+            await self._metrics.close()
         if self._rollout is not None:
             await self._rollout.close()
         if self._announcements is not None:
@@ -246,13 +253,13 @@
             self._folder_lock.release()
             self._folder_lock = None
 
-    def _make_measures(self, cfg: Cfg) -> Measures:
-        # Imported here: the libraries for metrics take 65 ms of a start in which
-        # gateways wait for the document, a tenth of it, and memory.
-        from gooseberrydale.process.control.measures import Measures
+    def _make_metrics(self, cfg: Cfg) -> ControlMetrics:
+        # Imported here because the metrics libraries need memory and 65 ms, a tenth of
+        # the startup time, while gateways wait for the document.
+        from gooseberrydale.process.control.measures import ControlMetrics
         from gooseberrydale.process.metrics import Metrics
 
-        return Measures(
+        return ControlMetrics(
             Metrics(CONTROL_ROLE, cfg.node.name, cfg.node.zone),
             self.state,
             self._proposer,
@@ -266,7 +273,7 @@
         cfg: Cfg,
         own: ControlCfg,
         announcements: Announcements,
-        surroundings: Surroundings,
+        interface: Surroundings,
     ) -> WeightsRollout | None:
         if self._replica is None:
             return None
@@ -276,7 +283,7 @@
             self._replica,
             self.directory,
             announcements,
-            surroundings.engines,
+            interface.engines,
             own.order_pause_s,
             own.weights_bound_s,
         )
@@ -285,7 +292,7 @@
         self, cfg: Cfg, own: ControlCfg, token: str, tls: TlsFiles | None
     ) -> Replica:
         if own.open_group:
-            # In an open group a replica goes by the address at which others reach it.
+            # In an open group a replica's name is the address at which others reach it.
             return Replica(
                 own,
                 token,
@@ -305,11 +312,13 @@
         return ReplicatedProposer(self._replica)
 
     async def _watch_replica(self, replica: Replica) -> None:
-        """End the process with its replica: it could serve stale state for ever."""
+        """Stop the process if its replica fails, as its state would stay stale."""
         try:
             await replica.wait_failed()
         except Exception as exc:
-            raise InvariantError(f"the replica has stopped: {exc}") from exc
+            raise InvariantError(
+                f"replica of the control log failed, the process must restart: {exc}"
+            ) from exc
 
     def _make_mesh(self, cfg: Cfg, token: str) -> Mesh:
         incarnation = new_incarnation(time.time_ns(), random.Random())
@@ -337,24 +346,24 @@
             )
         )
 
-    def _announced(self) -> Any:
+    def _upstream_records(self) -> Any:
         return self.directory.records(asyncio.get_running_loop().time())
 
     def _replica_status(self) -> dict[str, Any]:
         if self._replica is None:
-            return MEMORY_STATUS
-        return {"replicated": True, **plain(self._replica.status)}
+            return IN_MEMORY_STATUS
+        return {"replicated": True, **to_builtins(self._replica.status)}
 
 
-def control_role(cfg: Cfg, surroundings: Surroundings) -> Role:
-    """What control is on this instance, as the settings say."""
+def control_role(cfg: Cfg, interface: Surroundings) -> Role:
+    """Return the control role of this instance, as the settings select it."""
     if cfg.control is not None and cfg.control.signpost:
         return Signpost(cfg)
-    return Control(cfg, surroundings=surroundings)
+    return Control(cfg, interface=interface)
 
 
 def limits_of(cfg: ControlCfg) -> Limits:
-    """The bounds of the replicated state that the settings ask for."""
+    """Return the limits of the replicated state from the settings."""
     return Limits(
         audit_entries=cfg.audit_entries,
         change_ids=cfg.change_ids,
@@ -370,7 +379,7 @@
 
 
 def open_raft(seeds: tuple[str, ...], cfg: ControlCfg) -> RaftCfg:
-    """The settings of the log of an open group that ``seeds`` belong to."""
+    """Return the Raft settings of an open group whose seeds are ``seeds``."""
     return RaftCfg(
         frozenset(seeds),
         heartbeat_s=OPEN_HEARTBEAT_S,
@@ -383,7 +392,7 @@
     )
 
 
-def _operators(cfg: ControlCfg, given: Mapping[str, str] | None) -> dict[str, str]:
-    if given is not None:
-        return dict(given)
+def _operators(cfg: ControlCfg, digests: Mapping[str, str] | None) -> dict[str, str]:
+    if digests is not None:
+        return dict(digests)
     return {} if cfg.operators_file is None else load_operators(cfg.operators_file)
--- a/gooseberrydale/process/control/disk.py
+++ b/gooseberrydale/process/control/disk.py
@@ -1,8 +1,8 @@
-"""The task that owns a replica's storage.
+"""The task that writes a replica's storage.
 
-It takes batches of writes, puts each on disk with one sync in a thread, and reports
-it.  While the disk is full it tries again; nothing after the failed batch is
-written or acknowledged before.  Lives as long as the replica.
+It takes batches of writes, stores each with one sync in a worker thread, and reports
+when the batch is synced. If the disk is full it retries the batch; later batches are
+neither written nor acknowledged until it succeeds. There is one task per replica.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class DiskTask:
-    """Writes batches one after the other; ``problem`` is set while it is full."""
+    """Writes batches one after the other; ``problem`` is set while the disk is full."""
 
     def __init__(self, storage: Storage, written: Callable[[], None]) -> None:
         self._storage = storage
@@ -30,24 +30,25 @@
         self.problem: Problem | None = None
 
     def write(self, batch: Sequence[act.Write]) -> None:
-        """Hand over a batch; ``written`` is called once it is synced."""
+        """Queue a batch; the ``written`` callback runs once it is synced."""
         self._batches.put_nowait(batch)
 
     async def run(self) -> None:
-        """Write until cancelled; raises DiskFailedError if the disk fails."""
+        """Write batches until cancelled; raises DiskFailedError if the disk fails."""
         while True:
             batch = await self._batches.get()
-            rest = deque(batch)
-            await self._until_space(lambda: self._write(rest))
+            remaining = deque(batch)
+            await self._retry_while_full(lambda: self._write(remaining))
             self._written()
             if self._batches.empty():
-                # Whoever waits for the batch has been answered; the note is extra.
+                # The batch has already been reported as synced. The commit note is
+                # optional, so it is written only while nothing else is queued.
                 await asyncio.to_thread(self._storage.write_note)
 
-    async def _until_space(self, job: Callable[[], None]) -> None:
+    async def _retry_while_full(self, write_batch: Callable[[], None]) -> None:
         while True:
             try:
-                await asyncio.to_thread(job)
+                await asyncio.to_thread(write_batch)
                 self.problem = None
                 return
             except DiskFullError as exc:
@@ -56,14 +57,14 @@
                 self.problem = exc.problem
                 await asyncio.sleep(RETRY_S)
 
-    def _write(self, rest: deque[act.Write]) -> None:
-        """Write what is left of a batch; after a failure the rest is still there."""
-        while rest:
-            self._collect(rest[0])
-            rest.popleft()
+    def _write(self, remaining: deque[act.Write]) -> None:
+        """Write the remaining items of a batch; after a failure they can be retried."""
+        while remaining:
+            self._write_item(remaining[0])
+            remaining.popleft()
         self._storage.sync()
 
-    def _collect(self, write: act.Write) -> None:
+    def _write_item(self, write: act.Write) -> None:
         match write:
             case act.SaveState(state):
                 self._storage.save_state(state)
--- a/gooseberrydale/process/control/documents.py
+++ b/gooseberrydale/process/control/documents.py
@@ -1,7 +1,7 @@
-"""Documents and named weights: committed by whichever replica leads.
+"""Documents and named weights, committed by whichever replica leads.
 
-Lives as long as the process.  Operators may reach any replica; one that does not lead
-passes the request to the leader and answers with what became of it there.
+Each process has one. Operators may send requests to any replica; one that doesn't lead
+forwards them to the leader and returns its answer.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 from gooseberrydale.version.declarations import Document
 
 ASK_TIMEOUT_S = 0.9
-"""Operators try another replica after a second without an answer."""
+"""Less than the second after which operators try another replica."""
 
 
 class Documents:
-    """What operators of documents may ask of this replica."""
+    """Declares and reads documents and names weights, on behalf of operators."""
 
     def __init__(
         self, commit: GroupCommit, proposer: Proposer, client: ControlClient
@@ -40,26 +40,27 @@
         await self._client.close()
 
     async def declare(self, document: Document) -> Result[None, Problem]:
-        """Put ``document`` in force unless one with a number as high is.
+        """Put ``document`` in force if its number is higher than the current one's.
 
-        Ok says that a quorum has it, or one that overtook it, on disk.
+        Ok means that a quorum has stored this document, or a newer one, on disk.
         """
         return (await self._ask(DeclareReq(document))).map(lambda _: None)
 
     async def name_weights(self, model: str, version: int) -> Result[None, Problem]:
-        """Have ``model`` served with ``version`` unless a later one was named."""
+        """Have ``model`` served with ``version`` unless a newer version was named."""
         return (await self._ask(NameWeightsReq(model, version))).map(lambda _: None)
 
     async def read(self) -> Result[Document | None, Problem]:
-        """The document in force; an error if that can't be known for sure now."""
+        """Return the document in force; an error if the leader can't confirm it now."""
         return (await self._ask(ReadDocumentReq())).map(lambda reply: reply.document)
 
     async def _ask(self, req: Any) -> Result[Any, Problem]:
+        """Commit ``req`` here, or forward it to the leader."""
         if self._proposer.leads:
-            found = await self._commit.ask(req)
+            result = await self._commit.submit(req)
         else:
-            found = await self._client.ask(req, ASK_TIMEOUT_S)
-        if isinstance(found, Err):
-            return found
-        reply = found.ok_value
+            result = await self._client.ask(req, ASK_TIMEOUT_S)
+        if isinstance(result, Err):
+            return result
+        reply = result.ok_value
         return Ok(reply) if reply.problem is None else Err(reply.problem)
--- a/gooseberrydale/process/control/ended_incarnations_cache.py
+++ b/gooseberrydale/process/control/ended_incarnations_cache.py
@@ -1,7 +1,7 @@
-"""Keeps what ran at upstreams that ended over a restart of the process.
+"""Stores the records of ended incarnations on disk, to survive a process restart.
 
-Lives as long as the process.  After all processes were killed at once, a request that
-ends its upstreams would be free to end three more.
+Without it, a request that ends its upstreams could end three more after all processes
+were killed at once, because its quarantine would be forgotten.
 """
 
 from __future__ import annotations
@@ -12,38 +12,37 @@
 
 from gooseberrydale.connection.codec import message
 from gooseberrydale.connection.mesh import EndedIncarnation
-from gooseberrydale.process.control.kept_file import KeptFile
+from gooseberrydale.process.control.kept_file import CacheFile
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 
 
 @message
 @dataclass(frozen=True, slots=True)
 class KeptEndedIncarnations:
-    """All incarnations that are known to have ended, as old as they were at the
-    write."""
+    """The stored incarnations, with their ages at the time of the write."""
 
     incarnations: tuple[EndedIncarnation, ...]
 
 
 class EndedIncarnationsCache:
-    """Keeps ``ended_incarnations`` in a file at ``path``."""
+    """Stores ``ended_incarnations`` in the file at ``path`` whenever they change."""
 
     def __init__(self, path: Path, ended_incarnations: EndedIncarnations) -> None:
         self._ended_incarnations = ended_incarnations
-        self._file = KeptFile(path, self._collect)
+        self._file = CacheFile(path, self._collect)
 
     async def start(self) -> None:
-        """Offer what was kept, then keep what changes."""
+        """Restore the stored incarnations, then store every change."""
         now = asyncio.get_running_loop().time()
-        kept = self._file.read()
-        if isinstance(kept, KeptEndedIncarnations):
-            for incarnation in kept.incarnations:
+        stored = self._file.read()
+        if isinstance(stored, KeptEndedIncarnations):
+            for incarnation in stored.incarnations:
                 self._ended_incarnations.offer(incarnation, now)
-        self._ended_incarnations.subscribe(self._file.changed)
+        self._ended_incarnations.subscribe(self._file.schedule_write)
         await self._file.start()
 
     async def close(self) -> None:
-        """Stop keeping."""
+        """Stop writing."""
         await self._file.close()
 
     def _collect(self, now: float) -> KeptEndedIncarnations:
--- a/gooseberrydale/process/control/engine_survey.py
+++ b/gooseberrydale/process/control/engine_survey.py
@@ -1,7 +1,7 @@
-"""Asks engines whether they live and how much they have to do, while weights change.
+"""Polls engines for their load, and whether they respond, while weights change.
 
-Lives as long as the process.  The pace of a change counts who is dead, and the idle go
-first; what engines announce tells neither.
+A rollout counts unresponsive engines against the number that may change at once, and
+changes idle engines first. Announcements contain neither.
 """
 
 from __future__ import annotations
@@ -16,94 +16,96 @@
 from gooseberrydale.process.control.tasks import spawn, stop
 from gooseberrydale.version.directory import Directory
 
-SURVEY_S = 1.0
-"""While a model's engines change, all of them are asked this often whether they live
-and how much they have to do.  Twice a second, with the looks at engines that come down,
-two days of three changes took 270 and 320 questions more; they cost 0.003 of worth."""
+POLL_INTERVAL_S = 1.0
+"""Interval at which all engines of a model are polled while it changes weights. Polls
+take work from the engines: polling twice a second, and polling draining engines as
+well, added 270 and 320 polls in two days of three changes, which cost 0.003 of the
+value of all answers."""
 
-SURVEY_PER_S = 100.0
-"""Questions a second at most: with many engines each is asked less often.  A question
-costs some 0.3 ms of processor time."""
+MAX_POLLS_PER_S = 100.0
+"""Limit on the polls of all engines together: with many engines, each is polled less
+often. A poll takes about 0.3 ms of processor time."""
 
-SILENT_PAUSE_S = 0.6
-"""An engine that did not answer is asked again after this, beside the changes: it takes
-no place from the others, and has the newest weights soon after it is back."""
+SILENT_RETRY_S = 0.6
+"""Delay before an engine that didn't answer is polled again. This runs beside the
+changes, so the engine blocks no other one, and it gets the newest weights soon after it
+has recovered."""
 
 
-class EngineSurvey:
-    """What engines answered last; ``close`` it once."""
+class EnginePoller:
+    """Holds the last report of each engine; ``close`` it once."""
 
     def __init__(self, directory: Directory, engines: EngineOrders) -> None:
         self._directory = directory
         self._engines = engines
         self._next_at = -math.inf
         self._running: dict[str, int] = {}
-        # When an engine that does not answer is asked again.
+        # Time of the next poll of each engine that didn't answer.
         self._silent: dict[str, float] = {}
-        # Who was asked and has not answered yet.
-        self._asking: dict[str, asyncio.Task[None]] = {}
+        # Running polls by the name of the engine.
+        self._polls: dict[str, asyncio.Task[None]] = {}
 
     async def close(self) -> None:
-        """Ask nobody any more."""
-        await stop(list(self._asking.values()))
+        """Cancel the running polls."""
+        await stop(list(self._polls.values()))
 
     @property
-    def away(self) -> frozenset[str]:
-        """Engines that don't answer, or have not answered yet."""
-        return frozenset((*self._silent, *self._asking))
+    def unresponsive(self) -> frozenset[str]:
+        """Engines that didn't answer the last poll, or whose poll is still running."""
+        return frozenset((*self._silent, *self._polls))
 
     def running(self, name: str) -> int:
-        """How many requests an engine had when it was asked last; 0 if it never was."""
+        """Return how many requests an engine last reported; 0 without a report."""
         return self._running.get(name, 0)
 
-    def look(self, names: Collection[str], busy: Collection[str]) -> bool:
-        """Ask the engines of ``names`` if it is time, but for those that are ``busy``.
+    def poll(self, names: Collection[str], busy: Collection[str]) -> bool:
+        """Poll the engines ``names``, except those that are ``busy``, if a poll is due.
 
-        True if this is the first time for long: what they answer is not known yet.
+        Return True if this is the first poll of a change: no reports are available yet.
         """
         now = _now()
         if not names or now < self._next_at:
             return False
-        pause_s = max(SURVEY_S, len(names) / SURVEY_PER_S)
-        first = now > self._next_at + pause_s
-        self._next_at = now + pause_s
+        interval_s = max(POLL_INTERVAL_S, len(names) / MAX_POLLS_PER_S)
+        first = now > self._next_at + interval_s
+        self._next_at = now + interval_s
         if first:
             self._running.clear()
         for name in names:
             if name not in busy and name not in self._silent:
-                self._ask_by_name(name)
+                self._start_poll(name)
         return first
 
-    def silent(self, name: str) -> None:
-        """An engine did not answer; others shall not wait for it."""
-        self._silent[name] = _now() + SILENT_PAUSE_S
+    def mark_silent(self, name: str) -> None:
+        """Record that an engine didn't answer, so that others don't wait for it."""
+        self._silent[name] = _now() + SILENT_RETRY_S
 
-    def ask_silent(self) -> None:
-        """Ask engines that did not answer again; those that are gone are forgotten."""
+    def retry_silent(self) -> None:
+        """Poll silent engines that are due; stop tracking removed and leaving ones."""
         now = _now()
-        for name, ask_at in list(self._silent.items()):
+        for name, poll_at in list(self._silent.items()):
             engine = self._directory.get(name, now)
             if engine is None or engine.leaving:
                 del self._silent[name]
-            elif ask_at <= now:
-                self._silent[name] = now + SILENT_PAUSE_S
-                self._ask_by_name(name)
+            elif poll_at <= now:
+                self._silent[name] = now + SILENT_RETRY_S
+                self._start_poll(name)
 
-    def _ask_by_name(self, name: str) -> None:
+    def _start_poll(self, name: str) -> None:
         engine = self._directory.get(name, _now())
-        if engine is None or name in self._asking:
+        if engine is None or name in self._polls:
             return
-        task = spawn(self._ask(engine))
-        self._asking[name] = task
-        task.add_done_callback(partial(self._asked, name))
+        task = spawn(self._poll(engine))
+        self._polls[name] = task
+        task.add_done_callback(partial(self._discard_poll, name))
 
-    def _asked(self, name: str, _: asyncio.Task[None]) -> None:
-        self._asking.pop(name, None)
+    def _discard_poll(self, name: str, _: asyncio.Task[None]) -> None:
+        self._polls.pop(name, None)
 
-    async def _ask(self, engine: UpstreamRecord) -> None:
+    async def _poll(self, engine: UpstreamRecord) -> None:
         report = await self._engines.report(engine)
         if report is None:
-            self._silent.setdefault(engine.name, _now() + SILENT_PAUSE_S)
+            self._silent.setdefault(engine.name, _now() + SILENT_RETRY_S)
             return
         self._silent.pop(engine.name, None)
         self._running[engine.name] = report.running
--- a/gooseberrydale/process/control/first_start.py
+++ b/gooseberrydale/process/control/first_start.py
@@ -1,7 +1,7 @@
-"""What prepares a stopped replica's data folder: init, recover, and first start.
+"""Prepares the data folder of a stopped replica: init, recovery, and first start.
 
-The first two run once, in the process of the command line; the third before a
-replica starts that the settings say to begin a new cluster with.
+Init and recovery run in the process of the command line. The first start runs when a
+replica starts whose settings make it a seed of a new cluster.
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
 
 
 def init_folder(folder: Path, name: str) -> str:
-    """Start a new cluster with this replica as first member; return its id.
+    """Create a new cluster with this replica as its first member; return its id.
 
-    Run it on one replica only; the others start with empty folders and join.
-    Raises StorageError if the folder already holds a log or is in use.
+    Run it on one replica only; the others start with empty folders and join. Raises
+    StorageError if the folder already holds a log or is in use.
     """
     rng = random.SystemRandom()
     with FolderLock(folder):
@@ -33,28 +33,28 @@
         if storage.stored != Stored():
             raise StorageError(problem(ALREADY_STARTED, folder=folder))
         cluster = _new_cluster(rng)
-        _replace(storage, bootstrap.first_start(storage.me, cluster))
+        _write_and_close(storage, bootstrap.first_start(storage.me, cluster))
     return cluster
 
 
-def begin_together(folder: Path, name: str, names: Iterable[str]) -> None:
-    """Put the common log of a new cluster into an empty folder; leave others alone.
+def init_shared_log(folder: Path, name: str, names: Iterable[str]) -> None:
+    """Write the initial log shared by all seeds into an empty folder.
 
-    All replicas under ``names`` do so at their very first start.  Raises StorageError
-    if the folder can't be read.
+    Folders that already hold a log are left unchanged. All replicas in ``names`` do
+    this at their first start. Raises StorageError if the folder can't be read.
     """
     storage = FileStorage(folder, OsFiles())
     storage.open(name, random.SystemRandom(), bootstrap.first_identity(name))
     if storage.stored == Stored():
-        _replace(storage, bootstrap.common_start(names))
+        _write_and_close(storage, bootstrap.common_start(names))
     storage.close()
 
 
 def recover_folder(folder: Path, name: str, *, force: bool) -> bootstrap.RecoveryReport:
     """Make this replica the only member after a majority of disks was lost.
 
-    Without ``force`` nothing changes; the report says what would be kept and what
-    may be lost.  Raises StorageError if the folder holds no log or is in use.
+    Without ``force`` nothing changes; the report says what would be retained and what
+    may be lost. Raises StorageError if the folder holds no log or is in use.
     """
     rng = random.SystemRandom()
     with FolderLock(folder):
@@ -65,7 +65,7 @@
         if force:
             cluster = _new_cluster(rng)
             stored = bootstrap.force_single(storage.stored, storage.me, cluster)
-            _replace(storage, stored)
+            _write_and_close(storage, stored)
     return report
 
 
@@ -79,6 +79,6 @@
     return f"{rng.getrandbits(CLUSTER_BITS):016x}"
 
 
-def _replace(storage: FileStorage, stored: Stored) -> None:
+def _write_and_close(storage: FileStorage, stored: Stored) -> None:
     storage.save_snapshot(stored.snapshot, stored.state, stored.entries)
     storage.close()
--- a/gooseberrydale/process/control/folder_lock.py
+++ b/gooseberrydale/process/control/folder_lock.py
@@ -1,9 +1,8 @@
-"""A replica's data folder belongs to one process at a time.
+"""Lock that allows only one process at a time to use a replica's data folder.
 
-The lock lives as long as the process that took it, or until it is released; the
-system drops it when the process ends, however it ends.  Without it, recovering the
-folder of a running replica, or starting a replica twice, would write two logs into
-one file.
+The operating system releases the lock when the process ends, however it ends. Without
+it, recovering the folder of a running replica, or starting a replica twice, would write
+two logs into one file.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class FolderLock:
-    """An exclusive lock on one folder; raises StorageError if another holds it."""
+    """Exclusive lock on a folder; raises StorageError if another process holds it."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
@@ -38,5 +37,5 @@
         self.release()
 
     def release(self) -> None:
-        """Let others take the folder."""
+        """Release the folder for other processes."""
         os.close(self._fd)
--- a/gooseberrydale/process/control/group_commit.py
+++ b/gooseberrydale/process/control/group_commit.py
@@ -1,8 +1,7 @@
-"""Gathers requests into log entries: one entry, and one sync, for many requests.
+"""Combines requests into log entries: one entry, and one sync, for many requests.
 
-Lives as long as the process.  While an entry is being committed, further requests
-gather for the next one; under light load each request is an entry of its own and
-waits for nothing.
+While an entry is being committed, further requests are queued for the next one. Under
+light load each request gets an entry of its own and isn't delayed.
 """
 
 from __future__ import annotations
@@ -30,8 +29,8 @@
 
 MAX_GROUP = 256
 MAX_GROUP_BYTES = 1024 * 1024
-MAX_WAITING = 4_096
-MAX_WAITING_BYTES = 8 * 1024 * 1024
+MAX_QUEUED = 4_096
+MAX_QUEUED_BYTES = 8 * 1024 * 1024
 PROPOSE_TIMEOUT_S = 2.0
 RETRY_AFTER_S = 1.0
 
@@ -39,15 +38,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Waiting:
+class _PendingRequest:
     data: bytes
     answer: asyncio.Future[Result[Any, Problem]]
 
 
 class GroupCommit:
-    """Commits requests; ``wall`` gives Unix time in seconds.
+    """Commits requests in groups; ``wall`` returns Unix time in seconds.
 
-    ``on_answer`` is called with each request and what became of it.
+    ``on_answer`` is called with each request and its result.
     """
 
     def __init__(
@@ -59,40 +58,40 @@
         self._proposer = proposer
         self._on_answer = on_answer
         self._wall = wall
-        self._waiting: deque[_Waiting] = deque()
-        self._size = 0
-        self._arrived = asyncio.Event()
+        self._queue: deque[_PendingRequest] = deque()
+        self._queued_bytes = 0
+        self._queue_filled = asyncio.Event()
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Begin to commit."""
+        """Start committing."""
         self._tasks.append(spawn(self._run()))
 
     async def close(self) -> None:
-        """Stop; requests that still wait are refused."""
+        """Stop; queued requests are refused."""
         await stop(self._tasks)
         self._refuse_all(_no_quorum())
 
     def refuse_if_not_leading(self) -> Problem | None:
-        """Say who to ask if this process may not commit now."""
+        """Return a problem that names the leader if this process can't commit now."""
         return None if self._proposer.leads else _not_leader(self._proposer)
 
-    async def ask(self, req: Any) -> Result[Any, Problem]:
-        """Commit ``req`` and return the reply of the state.
+    async def submit(self, req: Any) -> Result[Any, Problem]:
+        """Commit ``req`` and return the reply of the state machine.
 
-        An error tells that nothing is known to be committed; the same request may
-        be sent again.
+        After an error the request may or may not have been committed; it is safe to
+        submit the same request again.
         """
         refused = self.refuse_if_not_leading()
         if refused is not None:
             return Err(refused)
         data = _encode(req)
-        if len(self._waiting) >= MAX_WAITING or self._size >= MAX_WAITING_BYTES:
+        if len(self._queue) >= MAX_QUEUED or self._queued_bytes >= MAX_QUEUED_BYTES:
             return Err(_no_quorum())
         answer = asyncio.get_running_loop().create_future()
-        self._waiting.append(_Waiting(data, answer))
-        self._size += len(data)
-        self._arrived.set()
+        self._queue.append(_PendingRequest(data, answer))
+        self._queued_bytes += len(data)
+        self._queue_filled.set()
         result: Result[Any, Problem] = await answer
         if self._on_answer is not None:
             self._on_answer(req, result)
@@ -100,65 +99,67 @@
 
     async def _run(self) -> None:
         while True:
-            await self._arrived.wait()
+            await self._queue_filled.wait()
             group = self._take_group()
             if group:
                 await self._commit(group)
-            if not self._waiting:
-                self._arrived.clear()
+            if not self._queue:
+                self._queue_filled.clear()
 
-    def _take_group(self) -> list[_Waiting]:
-        group: list[_Waiting] = []
+    def _take_group(self) -> list[_PendingRequest]:
+        group: list[_PendingRequest] = []
         size = 0
-        while self._waiting and len(group) < MAX_GROUP and size < MAX_GROUP_BYTES:
-            item = self._waiting.popleft()
-            self._size -= len(item.data)
-            if not item.answer.done():
-                group.append(item)
-                size += len(item.data)
+        while self._queue and len(group) < MAX_GROUP and size < MAX_GROUP_BYTES:
+            pending = self._queue.popleft()
+            self._queued_bytes -= len(pending.data)
+            if not pending.answer.done():
+                group.append(pending)
+                size += len(pending.data)
         return group
 
-    async def _commit(self, group: list[_Waiting]) -> None:
-        requests = tuple(item.data for item in group)
+    async def _commit(self, group: list[_PendingRequest]) -> None:
+        requests = tuple(pending.data for pending in group)
         command = encode(Command(self._wall(), requests, self._proposer.cluster))
         try:
             result = await self._proposer.propose(command, PROPOSE_TIMEOUT_S)
         except BaseException:
-            _answer_all(group, Err(_no_quorum()))
+            _resolve_all(group, Err(_no_quorum()))
             raise
         match result:
             case Ok(answer):
-                for item, reply in zip(group, decode(answer).replies, strict=True):
-                    _answer(item, Ok(decode(reply)))
+                for pending, reply in zip(group, decode(answer).replies, strict=True):
+                    _resolve(pending, Ok(decode(reply)))
             case Err(refused):
-                _answer_all(group, Err(refused))
+                _resolve_all(group, Err(refused))
 
     def _refuse_all(self, refused: Problem) -> None:
-        group = list(self._waiting)
-        self._waiting.clear()
-        self._size = 0
-        _answer_all(group, Err(refused))
+        group = list(self._queue)
+        self._queue.clear()
+        self._queued_bytes = 0
+        _resolve_all(group, Err(refused))
 
 
 def _encode(req: Any) -> bytes:
-    """Encode ``req``, making sure that it can be read again.
+    """Encode ``req`` and verify that it can be decoded again.
 
-    A committed request that no replica can read would stop them all for good.
+    A committed request that can't be decoded would stop all replicas permanently.
     """
     data = encode(req)
     if decode(data) != req:
-        raise InvariantError(f"{type(req).__name__} changes on its way into the log")
+        raise InvariantError(
+            f"{type(req).__name__} doesn't decode to an equal message; check its codec"
+        )
     return data
 
 
-def _answer_all(group: list[_Waiting], result: Result[Any, Problem]) -> None:
-    for item in group:
-        _answer(item, result)
+def _resolve_all(group: list[_PendingRequest], result: Result[Any, Problem]) -> None:
+    for pending in group:
+        _resolve(pending, result)
 
 
-def _answer(item: _Waiting, result: Result[Any, Problem]) -> None:
-    if not item.answer.done():
-        item.answer.set_result(result)
+def _resolve(pending: _PendingRequest, result: Result[Any, Problem]) -> None:
+    if not pending.answer.done():
+        pending.answer.set_result(result)
 
 
 def _no_quorum() -> Problem:
--- a/gooseberrydale/process/control/kept_file.py
+++ b/gooseberrydale/process/control/kept_file.py
@@ -1,8 +1,7 @@
-"""A file that holds what helps a restart of the process.
+"""A cache file that lets a process restore data after a restart.
 
-Lives as long as the process; the file lives as long as the disk.  What it holds is
-agreed on with nobody, so nobody waits for a write, and a file that can't be read counts
-as missing.
+The data isn't replicated and nothing waits for a write to finish. A file that can't be
+read is treated as missing.
 """
 
 from __future__ import annotations
@@ -19,14 +18,15 @@
 from gooseberrydale.version.replication.files import OsFiles
 from gooseberrydale.version.replication.records import frame, scan
 
-GATHER_S = 0.1
-"""Changes within this time share a write."""
+WRITE_DELAY_S = 0.1
+"""Delay before a write; changes within this time share it."""
 
 
-class KeptFile:
-    """Writes the registered message of ``collect`` to ``path`` after changes.
+class CacheFile:
+    """Writes the message that ``collect`` returns to ``path`` after changes.
 
-    ``collect`` gets the time of the loop in seconds.
+    ``collect`` is called with the loop's time in seconds; its message must be
+    registered with the codec.
     """
 
     def __init__(self, path: Path, collect: Callable[[float], Any]) -> None:
@@ -36,19 +36,19 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Write whenever ``changed`` is called from now on."""
+        """Start writing whenever ``schedule_write`` is called."""
         self._tasks.append(spawn(self._run()))
 
     async def close(self) -> None:
-        """Write no more."""
+        """Stop writing."""
         await stop(self._tasks)
 
-    def changed(self) -> None:
-        """What the file holds has changed."""
+    def schedule_write(self) -> None:
+        """Request a write, because the data has changed."""
         self._changed.set()
 
     def read(self) -> Any:
-        """The message that the file holds; None if nothing can be read."""
+        """Return the stored message; None if the file can't be read."""
         try:
             [payload] = scan(self._path.read_bytes()).payloads
             return decode(payload)
@@ -59,19 +59,19 @@
     async def _run(self) -> None:
         while True:
             await self._changed.wait()
-            await asyncio.sleep(GATHER_S)
+            await asyncio.sleep(WRITE_DELAY_S)
             self._changed.clear()
-            told = self._collect(asyncio.get_running_loop().time())
-            await asyncio.to_thread(self._write, told)
+            message = self._collect(asyncio.get_running_loop().time())
+            await asyncio.to_thread(self._write, message)
 
-    def _write(self, told: Any) -> None:
-        new = self._path.with_suffix(".new")
+    def _write(self, message: Any) -> None:
+        temporary = self._path.with_suffix(".new")
         try:
-            with open(new, "wb") as file:
-                file.write(frame(encode(told)))
+            with open(temporary, "wb") as file:
+                file.write(frame(encode(message)))
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(new, self._path)
+            os.replace(temporary, self._path)
             OsFiles().sync_folder(self._path.parent)
         except OSError as exc:
             emit(NotKept(self._path.name, str(exc)))
--- a/gooseberrydale/process/control/machine.py
+++ b/gooseberrydale/process/control/machine.py
@@ -1,7 +1,7 @@
-"""The state machine as the log drives it, publishing what the state says.
+"""State machine driven by the log, which publishes the state after each entry.
 
-Lives as long as the process.  After each entry the configuration goes to the
-store, which hands it to the mesh, and tasks that wait for the state are woken.
+The configuration is passed to the store, which the mesh propagates, and tasks that wait
+for a change of the state are woken.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class PublishingMachine:
-    """Passes entries to the state and publishes the outcome."""
+    """Applies entries to the state and publishes the result."""
 
     def __init__(self, state: ControlState, store: ConfigStore) -> None:
         self.state = state
@@ -22,17 +22,17 @@
         self._publish()
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Apply one committed entry; see :class:`ControlState`."""
+        """Apply a committed entry; see :class:`ControlState`."""
         answer = self.state.apply(index, command)
         self._publish()
         return answer
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
         return self.state.snapshot()
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state by a snapshot."""
+        """Replace the state by that of a snapshot."""
         self.state.restore(data)
         self._publish()
 
@@ -45,8 +45,8 @@
             return
 
     def _publish(self) -> None:
-        # The log may be replayed after a restart, when a peer has handed the
-        # newer configuration over already; the store keeps the newer one.
+        # After a restart the log may be replayed when a peer has already sent a newer
+        # configuration; the store retains the newer one.
         self._store.offer(self.state.config)
         self._changed.set()
         self._changed = asyncio.Event()
--- a/gooseberrydale/process/control/measures.py
+++ b/gooseberrydale/process/control/measures.py
@@ -1,7 +1,6 @@
-"""What a control process measures of itself.
+"""Metrics of a control process.
 
-Lives as long as the process: outcomes are counted as they come, levels are read
-from the state once a second.
+Outcomes are counted as they occur; levels are read from the state once a second.
 """
 
 from __future__ import annotations
@@ -31,8 +30,8 @@
 ACCEPTED = "accepted"
 
 
-class Measures:
-    """Feeds the instruments of the role."""
+class ControlMetrics:
+    """Records outcomes and levels in the metrics of the control role."""
 
     def __init__(
         self,
@@ -52,15 +51,15 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Begin to read the levels."""
+        """Start reading the levels."""
         self._tasks.append(spawn(self._run()))
 
     async def close(self) -> None:
-        """Stop; the instruments keep their last values."""
+        """Stop; the metrics retain their last values."""
         await stop(self._tasks)
         self.metrics.close()
 
-    def answered(self, req: Any, result: Result[Any, Problem]) -> None:
+    def record_outcome(self, req: Any, result: Result[Any, Problem]) -> None:
         """Count the outcome of one request."""
         instruments = self.metrics.instruments
         match result:
--- a/gooseberrydale/process/control/operator_api.py
+++ b/gooseberrydale/process/control/operator_api.py
@@ -1,9 +1,9 @@
 """The operators' HTTP interface: reads of the committed state, and changes.
 
-Lives as long as the process.  Reads answer from this replica's state, which may
-lag; with ``?from=leader`` only the leader answers them.  Changes go through the log
-and are refused by a replica that does not lead.  Every path needs
-an operator's token; attempts without one are audited.
+Reads are answered from this replica's state, which may lag behind the leader's; with
+``?from=leader`` only the leader answers them. Changes are committed through the log,
+and a replica that doesn't lead refuses them. Every path needs an operator's token;
+attempts without one are recorded in the audit log.
 """
 
 from __future__ import annotations
@@ -58,12 +58,12 @@
 STATUS_PATH = "/v1/status"
 CATCH_UP_RETRY_AFTER_S = 1.0
 MAX_BODY_BYTES = 4 * 1024 * 1024
-AUDIT_ENTRIES_SHOWN = 100
-WRONG_CHANGE_ID = problem(
+DEFAULT_AUDIT_COUNT = 100
+INVALID_CHANGE_ID = problem(
     INVALID_FIELD, reason="change_id: use letters, digits and ._:/- (128 at most)"
 )
-MAX_NOTE_CHARS = 500
-NOTE_INTERVAL_S = 1.0
+MAX_AUDIT_DETAIL_CHARS = 500
+WRONG_TOKEN_AUDIT_INTERVAL_S = 1.0
 
 T = TypeVar("T")
 Handler = Callable[[Request, str], Awaitable[Response]]
@@ -118,7 +118,7 @@
 
 
 class OperatorApi:
-    """Serves the operators; ``app`` is the ASGI application."""
+    """HTTP interface for operators; ``app`` is the ASGI application."""
 
     def __init__(
         self,
@@ -137,9 +137,9 @@
         self._upstreams = upstreams
         self._replica_status = replica_status
         self._ended_incarnations = ended_incarnations
-        self._noted_at = float("-inf")
-        self._notes_left_out = 0
-        self._notes: set[asyncio.Task[Any]] = set()
+        self._audited_at = float("-inf")
+        self._unaudited_attempts = 0
+        self._audit_tasks: set[asyncio.Task[Any]] = set()
         self.draining = False
         self.app = Starlette(routes=self._routes())
 
@@ -164,19 +164,25 @@
 
     def _route(self, method: str, path: str, handler: Handler) -> Route:
         async def serve(request: Request) -> Response:
-            operator = self._tokens.who(request.headers.get("authorization", ""))
+            operator = self._tokens.operator_of(
+                request.headers.get("authorization", "")
+            )
             if operator is None:
-                self._note_wrong_token(request)
-                return refuse(problem(WRONG_OPERATOR_TOKEN))
-            refused = self._refuse_reader(request)
+                self._audit_wrong_token(request)
+                return problem_response(problem(WRONG_OPERATOR_TOKEN))
+            refused = self._refuse_read(request)
             if refused is not None:
-                return refuse(refused)
+                return problem_response(refused)
             return await handler(request, operator)
 
         return Route(path, serve, methods=[method])
 
-    def _refuse_reader(self, request: Request) -> Problem | None:
-        """Refuse a read that would show less than was committed or is asked for."""
+    def _refuse_read(self, request: Request) -> Problem | None:
+        """Refuse a read that this replica might answer with outdated state.
+
+        That is a read from the leader if this replica doesn't lead, and any read of the
+        state before the replica has caught up with the log.
+        """
         if request.query_params.get("from") == "leader":
             return self._commit.refuse_if_not_leading()
         is_state = request.method == "GET" and request.url.path != STATUS_PATH
@@ -184,126 +190,130 @@
             return problem(CATCHING_UP, retry_after_s=CATCH_UP_RETRY_AFTER_S)
         return None
 
-    # Reads.
+    # Handlers of reads.
 
     async def _config(self, _request: Request, _operator: str) -> Response:
-        return answer(views.config_table(self._state.config))
+        return json_response(views.config_table(self._state.config))
 
     async def _profiles(self, _request: Request, _operator: str) -> Response:
         config = self._state.config
         tables = views.profile_tables(config)
-        return answer({"revision": config.revision, "profiles": tables})
+        return json_response({"revision": config.revision, "profiles": tables})
 
     async def _profile(self, request: Request, _operator: str) -> Response:
-        found = self._state.config.profiles.get(request.path_params["name"])
-        return _found("profile", request, found)
+        profile = self._state.config.profiles.get(request.path_params["name"])
+        return _lookup_response("profile", request, profile)
 
     async def _workspaces(self, _request: Request, _operator: str) -> Response:
         config = self._state.config
         tables = views.workspace_tables(config)
-        return answer({"revision": config.revision, "workspaces": tables})
+        return json_response({"revision": config.revision, "workspaces": tables})
 
     async def _workspace(self, request: Request, _operator: str) -> Response:
-        found = self._state.config.workspaces.get(request.path_params["name"])
-        return _found("workspace", request, found)
+        workspace = self._state.config.workspaces.get(request.path_params["name"])
+        return _lookup_response("workspace", request, workspace)
 
     async def _list_upstreams(self, _request: Request, _operator: str) -> Response:
         leaving = self._state.config.leaving
         tables = views.upstream_tables(self._upstreams(), leaving)
-        return answer({"revision": self._state.config.revision, "upstreams": tables})
+        return json_response(
+            {"revision": self._state.config.revision, "upstreams": tables}
+        )
 
     async def _orders(self, _request: Request, _operator: str) -> Response:
         orders = sorted(self._state.orders.orders, key=lambda order: order.order_id)
-        return answer({"orders": views.plain(orders)})
+        return json_response({"orders": views.to_builtins(orders)})
 
     async def _quarantined(self, _request: Request, _operator: str) -> Response:
-        return answer(
+        return json_response(
             {"quarantined": views.quarantined_tables(self._ended_incarnations)}
         )
 
     async def _audit(self, request: Request, _operator: str) -> Response:
-        asked = request.query_params.get("count", str(AUDIT_ENTRIES_SHOWN))
-        if not (asked.isascii() and asked.isdigit()):
-            reason = "count: write a whole number"
-            return refuse(problem(INVALID_FIELD, reason=reason))
-        return answer({"audit": views.plain(self._state.audit.newest(int(asked)))})
+        count = request.query_params.get("count", str(DEFAULT_AUDIT_COUNT))
+        if not (count.isascii() and count.isdigit()):
+            reason = "count: must be a whole number, such as 100"
+            return problem_response(problem(INVALID_FIELD, reason=reason))
+        return json_response(
+            {"audit": views.to_builtins(self._state.audit.newest(int(count)))}
+        )
 
     async def _status(self, _request: Request, _operator: str) -> Response:
         now = asyncio.get_running_loop().time()
         revision = self._state.config.revision
-        standings = self._acknowledgements.all(now)
-        # A replica that does not lead may not know the newest revision.
-        everywhere = (
+        statuses = self._acknowledgements.all(now)
+        # A replica that doesn't lead may lack the newest revision.
+        in_force_everywhere = (
             self._commit.refuse_if_not_leading() is None
             and self._acknowledgements.in_force_everywhere(revision, now)
         )
         table = {
             "revision": revision,
-            "in_force_everywhere": everywhere,
-            "processes": views.standing_tables(standings, revision, now),
+            "in_force_everywhere": in_force_everywhere,
+            "processes": views.process_tables(statuses, revision, now),
             "control": self._replica_status(),
             "claims": len(self._state.claims),
             "orders_open": len(self._state.orders.issued()),
         }
-        return answer(table)
+        return json_response(table)
 
-    # Changes.
+    # Handlers of changes.
 
     async def _post_change(self, request: Request, operator: str) -> Response:
-        match await _read(request, ChangeBody):
+        match await _read_body(request, ChangeBody):
             case Ok(body):
                 return await self._change(request, operator, body)
             case Err(refused):
-                return await self._refuse_noted(request, operator, refused)
+                return await self._refuse_and_audit(request, operator, refused)
 
     async def _post_profile(self, request: Request, operator: str) -> Response:
-        match await _read(request, ProfileBody):
+        match await _read_body(request, ProfileBody):
             case Ok(body):
                 edit = Edit(EditKind.APPLY_PROFILE, profile=body.profile)
                 change = ChangeBody(body.change_id, body.base, (edit,), body.dry_run)
                 return await self._change(request, operator, change)
             case Err(refused):
-                return await self._refuse_noted(request, operator, refused)
+                return await self._refuse_and_audit(request, operator, refused)
 
     async def _post_workspace(self, request: Request, operator: str) -> Response:
-        match await _read(request, WorkspaceBody):
+        match await _read_body(request, WorkspaceBody):
             case Ok(body):
                 edit = Edit(EditKind.APPLY_WORKSPACE, workspace=body.workspace)
                 change = ChangeBody(body.change_id, body.base, (edit,), body.dry_run)
                 return await self._change(request, operator, change)
             case Err(refused):
-                return await self._refuse_noted(request, operator, refused)
+                return await self._refuse_and_audit(request, operator, refused)
 
     async def _change(
         self, request: Request, operator: str, body: ChangeBody
     ) -> Response:
         if self.draining:
-            return refuse(problem(SHUTTING_DOWN))
+            return problem_response(problem(SHUTTING_DOWN))
         if not NAME_PATTERN.fullmatch(body.change_id):
-            return await self._refuse_noted(request, operator, WRONG_CHANGE_ID)
+            return await self._refuse_and_audit(request, operator, INVALID_CHANGE_ID)
         req = ChangeReq(body.change_id, body.base, operator, body.edits)
         if body.dry_run:
-            return _change_answer(self._state.try_out(req), dry_run=True)
-        match await self._commit.ask(req):
+            return _change_response(self._state.try_out(req), dry_run=True)
+        match await self._commit.submit(req):
             case Ok(reply):
-                return _change_answer(reply)
+                return _change_response(reply)
             case Err(refused):
-                return refuse(refused)
+                return problem_response(refused)
 
     async def _post_order(self, request: Request, operator: str) -> Response:
-        match await _read(request, OrderBody):
+        match await _read_body(request, OrderBody):
             case Ok(body):
                 return await self._order(request, operator, body)
             case Err(refused):
-                return await self._refuse_noted(request, operator, refused)
+                return await self._refuse_and_audit(request, operator, refused)
 
     async def _order(
         self, request: Request, operator: str, body: OrderBody
     ) -> Response:
         if self.draining:
-            return refuse(problem(SHUTTING_DOWN))
+            return problem_response(problem(SHUTTING_DOWN))
         if not NAME_PATTERN.fullmatch(body.change_id):
-            return await self._refuse_noted(request, operator, WRONG_CHANGE_ID)
+            return await self._refuse_and_audit(request, operator, INVALID_CHANGE_ID)
         req = PlaceOrderReq(
             change_id=body.change_id,
             operator=operator,
@@ -311,111 +321,123 @@
             kind=body.kind,
             model=body.model,
             version=body.version,
-            announced=any(r.name == body.upstream for r in self._upstreams()),
+            announced=any(record.name == body.upstream for record in self._upstreams()),
         )
-        match await self._commit.ask(req):
+        match await self._commit.submit(req):
             case Ok(reply) if reply.problem is None:
-                return answer({"order": views.plain(reply.order)})
+                return json_response({"order": views.to_builtins(reply.order)})
             case Ok(reply):
-                return refuse(reply.problem)
+                return problem_response(reply.problem)
             case Err(refused):
-                return refuse(refused)
+                return problem_response(refused)
 
     async def _post_release(self, request: Request, operator: str) -> Response:
-        match await _read(request, ReleaseBody):
+        match await _read_body(request, ReleaseBody):
             case Ok(body):
                 return await self._release(operator, body.digest)
             case Err(refused):
-                return await self._refuse_noted(request, operator, refused)
+                return await self._refuse_and_audit(request, operator, refused)
 
     async def _release(self, operator: str, digest: str) -> Response:
-        """Let a quarantined request run again; all processes hear of it."""
+        """Allow a quarantined request to run again, in all processes."""
         quarantined = self._ended_incarnations.quarantined()
-        found = [one for one in quarantined if shown(one) == digest]
-        if not found:
+        matching = [request for request in quarantined if shown(request) == digest]
+        if not matching:
             what = "quarantined request"
-            return refuse(problem(UNKNOWN_NAME, what=what, name=digest))
-        match await self._commit.ask(NoteReq(operator, "release", digest, "accepted")):
+            return problem_response(problem(UNKNOWN_NAME, what=what, name=digest))
+        match await self._commit.submit(
+            NoteReq(operator, "release", digest, "accepted")
+        ):
             case Err(refused):
-                return refuse(refused)
+                return problem_response(refused)
         now = asyncio.get_running_loop().time()
-        for one in found:
-            self._ended_incarnations.clear(one, now)
-        return answer({"released": digest})
+        for request in matching:
+            self._ended_incarnations.clear(request, now)
+        return json_response({"released": digest})
 
-    async def _refuse_noted(
+    async def _refuse_and_audit(
         self, request: Request, operator: str, refused: Problem
     ) -> Response:
-        """Refuse a request that is malformed, and audit the attempt."""
+        """Refuse a malformed request and record the attempt in the audit log."""
         detail = f"{request.method} {request.url.path}: {refused.message}"
-        note = NoteReq(operator, "malformed", detail[:MAX_NOTE_CHARS], refused.code)
-        match await self._commit.ask(note):
-            case Err(other) if other.code == NOT_LEADER.code:
-                # The leader refuses it as well, and can commit the note.
-                return refuse(other)
+        audit_entry = NoteReq(
+            operator, "malformed", detail[:MAX_AUDIT_DETAIL_CHARS], refused.code
+        )
+        match await self._commit.submit(audit_entry):
+            case Err(commit_error) if commit_error.code == NOT_LEADER.code:
+                # The caller retries at the leader, which refuses the request too and
+                # can commit the audit entry.
+                return problem_response(commit_error)
             case Err():
-                logger.warning("refused to {}: {}", operator, detail)
-        return refuse(refused)
+                logger.warning(
+                    "refused a malformed request of operator {}: {}", operator, detail
+                )
+        return problem_response(refused)
+
+    def _audit_wrong_token(self, request: Request) -> None:
+        """Record an attempt without a valid token, with at most one audit entry a
+        second.
 
-    def _note_wrong_token(self, request: Request) -> None:
-        """Audit the attempt; a flood of them is gathered into one entry a second."""
+        Each entry states how many attempts before it were left out.
+        """
         now = asyncio.get_running_loop().time()
-        if now - self._noted_at < NOTE_INTERVAL_S:
-            self._notes_left_out += 1
+        if now - self._audited_at < WRONG_TOKEN_AUDIT_INTERVAL_S:
+            self._unaudited_attempts += 1
             return
-        self._noted_at = now
+        self._audited_at = now
         host = request.client.host if request.client else "unknown"
         detail = f"{request.method} {request.url.path} from {host}"
-        if self._notes_left_out:
-            detail += f", after {self._notes_left_out} more attempts"
-        self._notes_left_out = 0
-        # A replica that does not lead can't commit the entry; then the log has it.
-        logger.warning("operator token refused: {}", detail)
-        note = NoteReq("", "authenticate", detail, WRONG_OPERATOR_TOKEN.code)
-        task = asyncio.ensure_future(self._commit.ask(note))
-        self._notes.add(task)
-        task.add_done_callback(self._notes.discard)
-
-
-def answer(table: Any, status: int = 200) -> Response:
-    """Return ``table`` as JSON."""
+        if self._unaudited_attempts:
+            detail += f", after {self._unaudited_attempts} more attempts"
+        self._unaudited_attempts = 0
+        # A replica that doesn't lead can't commit the audit entry; its process log then
+        # holds the only record.
+        logger.warning("refused a request with a wrong operator token: {}", detail)
+        audit_entry = NoteReq("", "authenticate", detail, WRONG_OPERATOR_TOKEN.code)
+        task = asyncio.ensure_future(self._commit.submit(audit_entry))
+        self._audit_tasks.add(task)
+        task.add_done_callback(self._audit_tasks.discard)
+
+
+def json_response(table: Any, status: int = 200) -> Response:
+    """Return ``table`` as a JSON response."""
     body = msgspec.json.encode(table)
     return Response(body, status, media_type="application/json")
 
 
-def refuse(refused: Problem) -> Response:
-    """Return a refusal as JSON, with Retry-After where coming back helps."""
-    response = answer(views.problem_table(refused), refused.status)
+def problem_response(refused: Problem) -> Response:
+    """Return a refusal as a JSON response, with Retry-After if a retry may succeed."""
+    response = json_response(views.problem_table(refused), refused.status)
     if refused.retry_after_s is not None:
         response.headers["retry-after"] = str(max(1, round(refused.retry_after_s)))
     return response
 
 
-def _change_answer(reply: ChangeReply, *, dry_run: bool = False) -> Response:
+def _change_response(reply: ChangeReply, *, dry_run: bool = False) -> Response:
     if reply.problem is not None:
-        return refuse(reply.problem)
-    return answer({"revision": reply.revision, "dry_run": dry_run})
+        return problem_response(reply.problem)
+    return json_response({"revision": reply.revision, "dry_run": dry_run})
 
 
-def _found(what: str, request: Request, found: Any) -> Response:
-    if found is None:
+def _lookup_response(what: str, request: Request, value: Any) -> Response:
+    if value is None:
         name = request.path_params["name"]
-        return refuse(problem(UNKNOWN_NAME, what=what, name=name))
-    return answer(views.plain(found))
+        return problem_response(problem(UNKNOWN_NAME, what=what, name=name))
+    return json_response(views.to_builtins(value))
 
 
-async def _read(request: Request, cls: type[T]) -> Result[T, Problem]:
-    """Read the body as an instance of ``cls``, naming every fault."""
+async def _read_body(request: Request, body_type: type[T]) -> Result[T, Problem]:
+    """Parse the body as an instance of ``body_type``; the problem names every fault."""
     data = bytearray()
     try:
-        async for part in request.stream():
-            data += part
+        async for chunk in request.stream():
+            data += chunk
             if len(data) > MAX_BODY_BYTES:
                 return Err(problem(BODY_TOO_LARGE, limit=MAX_BODY_BYTES))
         table = msgspec.json.decode(data)
     except (msgspec.MsgspecError, ClientDisconnect) as exc:
         return Err(problem(INVALID_JSON, reason=exc))
-    match structure(table, cls):
+    match structure(table, body_type):
         case Ok(body):
             return Ok(body)
         case Err(faults):
--- a/gooseberrydale/process/control/operator_auth.py
+++ b/gooseberrydale/process/control/operator_auth.py
@@ -1,6 +1,6 @@
-"""Who an operator is, by the token that came with the request.
+"""Identifies operators by the bearer token of a request.
 
-The tokens' digests are read once, when the process starts.
+The digests of the tokens are read once, when the process starts.
 """
 
 from __future__ import annotations
@@ -22,29 +22,29 @@
         table = tomllib.loads(path.read_text(encoding="utf-8"))
     except (OSError, ValueError) as exc:
         raise _invalid(path, "the file", str(exc)) from exc
-    wrong = [name for name, digest in table.items() if not _is_digest(digest)]
-    if wrong:
-        raise _invalid(path, ", ".join(wrong), "is no SHA-256 digest")
+    invalid_names = [name for name, digest in table.items() if not _is_digest(digest)]
+    if invalid_names:
+        raise _invalid(path, ", ".join(invalid_names), "not a SHA-256 digest in hex")
     return dict(table)
 
 
 class OperatorTokens:
-    """The operators by the digests of their tokens."""
+    """Operators and the digests of their tokens."""
 
     def __init__(self, digests: dict[str, str]) -> None:
         self._digests = dict(digests)
 
-    def who(self, authorization: str) -> str | None:
-        """Return the operator's name for an Authorization header, if there is one."""
+    def operator_of(self, authorization: str) -> str | None:
+        """Return the operator of an Authorization header; None for an unknown token."""
         if not authorization.lower().startswith(SCHEME):
             return None
-        sent = key_digest(authorization[len(SCHEME) :].strip())
-        found = None
-        # All are compared, so that the time taken tells nothing about the digests.
-        for name, digest in self._digests.items():
-            if hmac.compare_digest(sent, digest):
-                found = name
-        return found
+        digest = key_digest(authorization[len(SCHEME) :].strip())
+        operator = None
+        # All digests are compared, so the response time reveals nothing about them.
+        for name, known_digest in self._digests.items():
+            if hmac.compare_digest(digest, known_digest):
+                operator = name
+        return operator
 
 
 def _is_digest(value: object) -> bool:
--- a/gooseberrydale/process/control/operator_views.py
+++ b/gooseberrydale/process/control/operator_views.py
@@ -1,6 +1,6 @@
-"""What operators are shown: the committed state as plain tables for JSON.
+"""Tables for the JSON answers to operators, built from the committed state.
 
-Pure functions over the state of one moment.
+All functions are pure.
 """
 
 from __future__ import annotations
@@ -19,19 +19,19 @@
 Table = dict[str, Any]
 
 
-def plain(value: Any) -> Any:
-    """Return a message as dictionaries, lists and scalars."""
+def to_builtins(value: Any) -> Any:
+    """Convert a message to dictionaries, lists and scalars."""
     return msgspec.to_builtins(value)
 
 
 def problem_table(refused: Problem) -> Table:
-    """A refusal as operators get it."""
-    table: Table = plain(refused)
+    """Return the table of a refusal."""
+    table: Table = to_builtins(refused)
     return table
 
 
 def config_table(config: Config) -> Table:
-    """All declarations of one revision."""
+    """Return all declarations of one revision."""
     return {
         "revision": config.revision,
         "profiles": profile_tables(config),
@@ -41,23 +41,24 @@
 
 
 def profile_tables(config: Config) -> list[Table]:
-    """The profiles by name."""
+    """Return the profiles, sorted by name."""
     return [_by_name(config.profiles, name) for name in sorted(config.profiles)]
 
 
 def workspace_tables(config: Config) -> list[Table]:
-    """The workspaces by name; keys show as digests."""
+    """Return the workspaces, sorted by name; API keys appear as digests."""
     return [_by_name(config.workspaces, name) for name in sorted(config.workspaces)]
 
 
-def _by_name(things: dict[str, Profile] | dict[str, Workspace], name: str) -> Table:
-    table: Table = plain(things[name])
+def _by_name(
+    declarations: dict[str, Profile] | dict[str, Workspace], name: str
+) -> Table:
+    table: Table = to_builtins(declarations[name])
     return table
 
 
 def quarantined_tables(ended_incarnations: EndedIncarnations) -> list[Table]:
-    """The requests that are sent nowhere, each with the incarnations that ended under
-    it."""
+    """Return the quarantined requests with the incarnations that ended running them."""
     return [
         {
             "digest": shown(request),
@@ -70,10 +71,10 @@
 def upstream_tables(
     records: tuple[UpstreamRecord, ...], leaving: frozenset[str]
 ) -> list[Table]:
-    """Announced upstreams, and those that are marked as leaving but not heard of."""
-    heard = {record.name: record for record in records}
-    names = sorted(heard.keys() | leaving)
-    return [_upstream_table(name, heard.get(name), leaving) for name in names]
+    """Return announced upstreams, and unannounced ones that are marked as leaving."""
+    announced = {record.name: record for record in records}
+    names = sorted(announced.keys() | leaving)
+    return [_upstream_table(name, announced.get(name), leaving) for name in names]
 
 
 def _upstream_table(
@@ -81,24 +82,22 @@
 ) -> Table:
     table: Table = {"name": name, "announced": record is not None}
     if record is not None:
-        table |= plain(record)
-    # The mark is what operators said; the sidecar may not have learned of it yet.
+        table |= to_builtins(record)
+    # The mark was set by operators; the sidecar may not have received it yet.
     table["marked_leaving"] = name in leaving
     return table
 
 
-def standing_tables(
-    standings: list[Standing], revision: int, now: float
-) -> list[Table]:
-    """Processes with the revision in force there; ``now`` in loop time."""
+def process_tables(statuses: list[Standing], revision: int, now: float) -> list[Table]:
+    """Return each process with the revision in force there; ``now`` is loop time."""
     return [
         {
-            "role": standing.role,
-            "name": standing.name,
-            "zone": standing.zone,
-            "revision": standing.revision,
-            "behind": standing.revision < revision,
-            "heard_s_ago": round(max(0.0, now - standing.heard_at), 1),
+            "role": process.role,
+            "name": process.name,
+            "zone": process.zone,
+            "revision": process.revision,
+            "behind": process.revision < revision,
+            "heard_s_ago": round(max(0.0, now - process.heard_at), 1),
         }
-        for standing in standings
+        for process in statuses
     ]
--- a/gooseberrydale/process/control/order_sender.py
+++ b/gooseberrydale/process/control/order_sender.py
@@ -1,8 +1,8 @@
-"""Gives issued orders to the sidecars of their upstreams and commits the outcome.
+"""Sends issued orders to the sidecars of their upstreams and commits the outcome.
 
-Lives as long as the process; only the leader gives orders, and it asks whether it
-still leads before each one.  An order is given again until its outcome is known or
-its deadline has passed: the fencing number makes that harmless.
+Only the leader sends orders, and it checks that it still leads before each attempt. An
+order is resent until its outcome is known or its deadline has passed; the sidecar
+recognizes a repeated order by its fencing number.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 class OrderSender:
-    """One task for each issued order, as long as this process leads."""
+    """Runs one task per issued order while this process leads."""
 
     def __init__(
         self,
@@ -48,42 +48,42 @@
         self._token = token
         self._tls = tls
         self._tasks: list[asyncio.Task[None]] = []
-        self._given: dict[int, asyncio.Task[None]] = {}
+        self._sending: dict[int, asyncio.Task[None]] = {}
 
     async def start(self) -> None:
-        """Begin to give orders."""
+        """Start sending orders."""
         self._tasks.append(spawn(self._run()))
 
     async def close(self) -> None:
-        """Stop; the next leader goes on."""
+        """Stop; the next leader continues with the open orders."""
         await stop(self._tasks)
-        await stop(list(self._given.values()))
+        await stop(list(self._sending.values()))
 
     async def _run(self) -> None:
         while True:
             for order in self._machine.state.orders.issued():
-                if self._proposer.leads and order.number not in self._given:
-                    self._begin(order)
+                if self._proposer.leads and order.number not in self._sending:
+                    self._start_sending(order)
             await self._machine.wait_change(RETRY_S)
 
-    def _begin(self, order: Order) -> None:
-        task = spawn(self._give(order))
-        self._given[order.number] = task
-        task.add_done_callback(lambda _: self._given.pop(order.number, None))
+    def _start_sending(self, order: Order) -> None:
+        task = spawn(self._send(order))
+        self._sending[order.number] = task
+        task.add_done_callback(lambda _: self._sending.pop(order.number, None))
 
-    async def _give(self, order: Order) -> None:
-        while self._is_open(order) and self._proposer.leads:
-            reply = await self._call(order)
+    async def _send(self, order: Order) -> None:
+        while self._is_issued(order) and self._proposer.leads:
+            reply = await self._send_once(order)
             if reply is not None and reply.finished:
                 await self._report(order, reply)
             else:
                 await asyncio.sleep(RETRY_S)
 
-    def _is_open(self, order: Order) -> bool:
+    def _is_issued(self, order: Order) -> bool:
         return order in self._machine.state.orders.issued()
 
-    async def _call(self, order: Order) -> OrderReply | None:
-        """Give the order once; None if no answer came."""
+    async def _send_once(self, order: Order) -> OrderReply | None:
+        """Send the order once; return None if no answer arrived."""
         now = asyncio.get_running_loop().time()
         record = self._directory.get(order.upstream, now)
         if record is None:
@@ -99,7 +99,11 @@
         try:
             reply = await channel.call(ORDER, req, timeout_s=CALL_TIMEOUT_S)
         except grpc.aio.AioRpcError as exc:
-            logger.warning("order {} got no answer: {}", order.number, exc.details())
+            logger.warning(
+                "order {} was not answered and is sent again: {}",
+                order.number,
+                exc.details(),
+            )
             return None
         finally:
             await channel.close()
@@ -113,6 +117,6 @@
             done=refused is None,
             detail="" if refused is None else refused.message,
         )
-        outcome = await self._commit.ask(report)
+        outcome = await self._commit.submit(report)
         if outcome.is_err():
             await asyncio.sleep(RETRY_S)
--- a/gooseberrydale/process/control/peers.py
+++ b/gooseberrydale/process/control/peers.py
@@ -1,8 +1,7 @@
-"""The sending side towards one other control replica.
+"""Connection that sends messages of the replicated log to one other replica.
 
-One task owns one connection and opens a new one when the old one fails or falls
-silent.  Messages may be lost; the log's protocol allows for it.  Lives as long as
-the replica.
+One task owns the connection and opens a new one when it fails or is silent for too
+long. Messages may be lost; the protocol of the log tolerates that.
 """
 
 from __future__ import annotations
@@ -20,21 +19,21 @@
 from gooseberrydale.version.replication.messages import Envelope
 
 MAX_QUEUED = 1024
-ACK_EVERY_S = 0.5
+ACK_INTERVAL_S = 0.5
 SILENCE_S = 1.5
-RECONNECT_S = 0.2
+RECONNECT_DELAY_S = 0.2
 
 
 class PeerLink:
-    """Sends envelopes to one address; ``start`` and ``close``."""
+    """Sends envelopes to one address; ``start`` it once and ``close`` it once."""
 
     def __init__(self, address: str, token: str, tls: TlsFiles | None = None) -> None:
         self._address = address
         self._token = token
         self._tls = tls
         self._queue: deque[Envelope] = deque(maxlen=MAX_QUEUED)
-        self._ready = asyncio.Event()
-        self._asked_at: float | None = None
+        self._has_messages = asyncio.Event()
+        self._ack_requested_at: float | None = None
         self._acked_at = 0.0
         self._task: asyncio.Task[None] | None = None
 
@@ -50,45 +49,49 @@
             self._task = None
 
     def send(self, envelope: Envelope) -> None:
-        """Queue an envelope; if the queue is full the oldest one is dropped."""
+        """Queue an envelope; a full queue drops its oldest one."""
         self._queue.append(envelope)
-        self._ready.set()
+        self._has_messages.set()
 
     async def _run(self) -> None:
         while True:
-            await self._ready.wait()
+            await self._has_messages.wait()
             try:
                 await self._session()
             except (grpc.aio.AioRpcError, TimeoutError) as exc:
-                logger.debug("peer {} lost: {}", self._address, type(exc).__name__)
-            await asyncio.sleep(RECONNECT_S)
+                logger.debug(
+                    "connection to replica {} lost, reconnecting: {}",
+                    self._address,
+                    type(exc).__name__,
+                )
+            await asyncio.sleep(RECONNECT_DELAY_S)
 
     async def _session(self) -> None:
-        self._asked_at = None
+        self._ack_requested_at = None
         channel = RpcChannel(self._address, self._token, self._tls)
         try:
-            call = channel.call(REPLICATE, self._batches())
-            await self._watch(call)
+            call = channel.call(REPLICATE, self._pack_batches())
+            await self._read_acks(call)
         finally:
             await channel.close()
 
-    async def _batches(self) -> AsyncIterator[peer_frames.PeerBatch]:
+    async def _pack_batches(self) -> AsyncIterator[peer_frames.PeerBatch]:
         while True:
-            await self._ready.wait()
-            self._ready.clear()
+            await self._has_messages.wait()
+            self._has_messages.clear()
             envelopes = list(self._queue)
             self._queue.clear()
-            yield peer_frames.pack(envelopes, self._wants_ack())
+            yield peer_frames.pack(envelopes, self._request_ack())
 
-    def _wants_ack(self) -> bool:
+    def _request_ack(self) -> bool:
         now = _now()
-        if self._asked_at is not None or now < self._acked_at + ACK_EVERY_S:
+        if self._ack_requested_at is not None or now < self._acked_at + ACK_INTERVAL_S:
             return False
-        self._asked_at = now
+        self._ack_requested_at = now
         return True
 
-    async def _watch(self, call: Any) -> None:
-        """Read acknowledgements; raise TimeoutError if one stays out."""
+    async def _read_acks(self, call: Any) -> None:
+        """Read acknowledgements; raises TimeoutError if one doesn't arrive in time."""
         read = asyncio.ensure_future(call.read())
         try:
             while True:
@@ -96,7 +99,7 @@
                 if read.done():
                     if read.result() is grpc.aio.EOF:
                         return
-                    self._asked_at = None
+                    self._ack_requested_at = None
                     self._acked_at = _now()
                     read = asyncio.ensure_future(call.read())
                 elif self._is_silent():
@@ -105,7 +108,10 @@
             read.cancel()
 
     def _is_silent(self) -> bool:
-        return self._asked_at is not None and _now() > self._asked_at + SILENCE_S
+        return (
+            self._ack_requested_at is not None
+            and _now() > self._ack_requested_at + SILENCE_S
+        )
 
 
 def _now() -> float:
--- a/gooseberrydale/process/control/propose_service.py
+++ b/gooseberrydale/process/control/propose_service.py
@@ -1,8 +1,8 @@
-"""Serves the requests of entries and sidecars that need a commit.
+"""gRPC service for requests of other processes that need a commit.
 
-Lives as long as the process.  Changes by edits and operators' orders do not come
-this way: only the operators' interface, which knows who asks, may propose them.
-Documents do: the replica that an operator reached passes them to the leader.
+Configuration changes and orders of operators are refused here; only the operators'
+interface, which authenticates them, may propose them. Documents are accepted, because
+the replica that an operator reached forwards them to the leader.
 """
 
 from __future__ import annotations
@@ -45,14 +45,14 @@
 
 
 class ProposeService:
-    """Turns calls of the ``PROPOSE`` method into commits."""
+    """Handles calls of the ``PROPOSE`` method by committing their requests."""
 
     def __init__(self, commit: GroupCommit, proposer: Proposer) -> None:
         self._commit = commit
         self._proposer = proposer
 
     def register(self, server: RpcServer) -> None:
-        """Serve on ``server``; call before its ``start``."""
+        """Register the method with ``server``; call this before it is started."""
         server.unary(PROPOSE, self.handle)
 
     async def handle(self, req: Any) -> Any:
@@ -60,7 +60,7 @@
         reply_type = REPLY_TYPES.get(type(req))
         if reply_type is None:
             return Ack(problem=problem(NOT_PROPOSABLE, what=type(req).__name__))
-        match await self._commit.ask(req):
+        match await self._commit.submit(req):
             case Ok(reply):
                 return reply
             case Err(refused):
--- a/gooseberrydale/process/control/proposer.py
+++ b/gooseberrydale/process/control/proposer.py
@@ -1,7 +1,7 @@
-"""How the role gets an entry committed, and the way without replication.
+"""Interface for committing log entries, with and without replication.
 
-Lives as long as the process.  A replica proposes through the replicated log; the
-in-memory proposer serves the local mode, whose state is lost with the process.
+A replica commits through the replicated log. The in-memory proposer serves the local
+mode, where the state is lost when the process ends.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
     @property
     def leads(self) -> bool:
-        """Whether this process may propose, and give orders, right now."""
+        """Whether this process may propose entries and send orders now."""
 
     @property
     def leader(self) -> str:
-        """gRPC address of the leader as far as known, else empty."""
+        """gRPC address of the leader; empty if it is unknown."""
 
     @property
     def cluster(self) -> str:
-        """Id of the cluster that this process belongs to; empty if there is none."""
+        """Id of the cluster that this process belongs to; empty without replication."""
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[bytes, Problem]:
         """Commit ``command`` and return the state machine's answer."""
 
 
 class InMemoryProposer:
-    """Applies each entry at once; there is nobody else to agree with."""
+    """Applies each entry immediately, as there are no other replicas."""
 
     def __init__(self, machine: StateMachine) -> None:
         self._machine = machine
@@ -43,17 +43,17 @@
 
     @property
     def leads(self) -> bool:
-        """Always: there is only this process."""
+        """Always True: there is no other replica."""
         return True
 
     @property
     def leader(self) -> str:
-        """Empty: there is nobody to redirect to."""
+        """Always empty: there is no other replica to redirect to."""
         return ""
 
     @property
     def cluster(self) -> str:
-        """Empty: there is no cluster."""
+        """Always empty: there is no cluster."""
         return ""
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[bytes, Problem]:
@@ -63,19 +63,19 @@
 
 
 class ReplicatedProposer:
-    """Proposes through this process's replica of the log."""
+    """Commits through this process's replica of the log."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
 
     @property
     def leads(self) -> bool:
-        """Whether the replica leads under a lease that holds."""
+        """Whether the replica leads and its lease is valid."""
         return self._replica.may_lead()
 
     @property
     def leader(self) -> str:
-        """gRPC address of the leader as far as the replica knows."""
+        """gRPC address of the last recorded leader; empty if unknown."""
         return self._replica.leader_address
 
     @property
@@ -84,5 +84,5 @@
         return self._replica.status.cluster
 
     async def propose(self, command: bytes, timeout_s: float) -> Result[bytes, Problem]:
-        """Commit ``command`` by a quorum and return the state machine's answer."""
+        """Commit ``command`` with a quorum and return the state machine's answer."""
         return await self._replica.propose(command, timeout_s)
--- a/gooseberrydale/process/control/replica.py
+++ b/gooseberrydale/process/control/replica.py
@@ -1,7 +1,7 @@
-"""One replica of the control role's log: decisions, disk and peers put together.
+"""One replica of the control role's log: the Raft node with its disk and peers.
 
-One task owns the node; whatever happens reaches it through its inbox, and all that
-waits there is decided as one batch.  Lives as long as the process.
+One task owns the node. All events reach it through its inbox, and the events that have
+arrived by then are processed as one batch.
 """
 
 from __future__ import annotations
@@ -31,18 +31,19 @@
 from gooseberrydale.version.replication.raft import RaftNode
 
 RETRY_AFTER_S = 1.0
-MAX_WAITING_WRITES = 4096
+MAX_QUEUED_WRITES = 4096
 
 Answer = Result[bytes, Problem]
 
 
 @dataclass(frozen=True, slots=True)
 class ReplicaStatus:
-    """What operators see of one replica.
+    """State of one replica as shown to operators.
 
-    ``caught_up`` says whether reads here show all that was committed before the
-    start.  ``repairs`` is known to the leader only; a replacement is complete when
-    it says ``done`` for the name.  ``problem`` tells why the replica writes nothing.
+    ``caught_up`` is set once reads include everything that was committed before the
+    start. Only the leader has ``repairs``; the replacement of a replica is complete
+    when its repair state is ``done``. ``problem`` is why the replica can't write to its
+    disk.
     """
 
     name: str
@@ -61,22 +62,22 @@
 
 @dataclass(frozen=True, slots=True)
 class _Written:
-    """The batch handed to the disk is synced."""
+    """Event: the batch that was passed to the disk task is synced."""
 
 
 @dataclass(slots=True)
-class _Waiter:
-    """A proposal in the log whose proposer waits."""
+class _OpenProposal:
+    """A proposal that is in the log and whose caller waits for the answer."""
 
     number: int
     term: int
 
 
 class Replica:
-    """A member of the replicated log; ``start`` after the folder is initialised.
+    """A member of the replicated log; its folder must be initialised before ``start``.
 
-    Register it before ``rpc_server`` starts.  A replica whose folder is new joins
-    the cluster of the other replicas by itself.
+    Create it before ``rpc_server`` starts, as it registers its method there. A replica
+    whose folder is empty joins the cluster of the other replicas by itself.
     """
 
     def __init__(
@@ -105,21 +106,21 @@
         self._links: dict[str, PeerLink] = {}
         self._inbox: asyncio.Queue[act.Event | _Written] = asyncio.Queue()
         self._disk = DiskTask(self._storage, self._on_written)
-        self._waiting_writes: list[act.Write | act.Send] = []
+        self._queued_writes: list[act.Write | act.Send] = []
         self._writing: list[act.Write | act.Send] = []
-        self._writing_end = act.Synced(0, 0)
+        self._synced_event = act.Synced(0, 0)
         self._futures: dict[int, asyncio.Future[Answer]] = {}
-        self._waiters: dict[int, _Waiter] = {}
-        self._numbers = 0
+        self._open_proposals: dict[int, _OpenProposal] = {}
+        self._last_number = 0
         self._node: RaftNode | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._tasks: list[asyncio.Task[None]] = []
         rpc_server.streaming(REPLICATE, self._on_stream)
 
-    # Incarnation cycle.
+    # Start and stop.
 
     async def start(self) -> None:
-        """Read the disk and take part; raises the errors of ``storage``."""
+        """Read the stored log and join the group; raises the errors of ``storage``."""
         await asyncio.to_thread(self._storage.open, self._name, self._rng)
         stored = self._storage.stored
         if stored.snapshot.index:
@@ -128,42 +129,42 @@
             self._raft, self._storage.me, stored, self._rng, self._now()
         )
         for action in self._node.begin():
-            self._carry_out(action)
+            self._execute(action)
         self._tasks = [
-            asyncio.create_task(self._decide()),
+            asyncio.create_task(self._process_events()),
             asyncio.create_task(self._disk.run()),
         ]
         self._set_timer()
 
     async def close(self) -> None:
-        """Stop; whoever waits for an answer gets an unknown outcome."""
+        """Stop; open proposals get an answer with an unknown outcome."""
         if self._timer is not None:
             self._timer.cancel()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await asyncio.gather(*(link.close() for link in self._links.values()))
-        self._fail_waiters()
+        self._fail_open_proposals()
         await asyncio.to_thread(self._storage.close)
 
     async def wait_failed(self) -> None:
-        """Raise the error that stops this replica; the process must end then."""
+        """Raise the error of the replica once it fails; the process must end then."""
         done, _ = await asyncio.wait(self._tasks, return_when=asyncio.FIRST_COMPLETED)
         for task in done:
             task.result()
 
-    # For the control role.
+    # Interface for the control role.
 
     async def propose(self, command: bytes, timeout_s: float = 5.0) -> Answer:
         """Commit a command and return the state machine's answer.
 
-        ``NOT_LEADER`` names the leader's address.  After ``NO_QUORUM`` the outcome
-        is unknown: send the same change again.
+        ``NOT_LEADER`` contains the leader's address. After ``NO_QUORUM`` the outcome is
+        unknown; propose the same change again.
         """
-        if self._disk.problem is not None and self._is_alone:
+        if self._disk.problem is not None and self._is_only_member:
             return Err(self._disk.problem)
-        self._numbers += 1
-        number = self._numbers
+        self._last_number += 1
+        number = self._last_number
         future: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         self._futures[number] = future
         self._inbox.put_nowait(act.Propose(((number, command),)))
@@ -171,34 +172,39 @@
             async with asyncio.timeout(timeout_s):
                 return await future
         except TimeoutError:
-            full = self._disk.problem
-            return Err(_unknown() if full is None else full.with_outcome(None))
+            disk_problem = self._disk.problem
+            return Err(
+                _outcome_unknown()
+                if disk_problem is None
+                else disk_problem.with_outcome(None)
+            )
         finally:
             del self._futures[number]
 
     @property
-    def _is_alone(self) -> bool:
-        """Whether no other replica could commit what this one can't write."""
+    def _is_only_member(self) -> bool:
+        """Whether no other replica could commit while this one can't write."""
         return len(self._started.membership.members) <= 1
 
     def may_lead(self) -> bool:
-        """Whether this replica may answer and give orders as leader, right now."""
+        """Whether this replica leads under a valid lease, so it may answer and send
+        orders."""
         return self._node is not None and self._node.may_lead(self._now())
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads under a lease."""
+        """Whether this replica leads under a valid lease."""
         return self.may_lead()
 
     @property
     def leader_address(self) -> str:
-        """Address of who leads as far as is known; empty if nobody is."""
+        """Address of the last recorded leader; empty if there is none."""
         leader = self._started.leader
         return self._address(leader.name) if leader else ""
 
     @property
     def status(self) -> ReplicaStatus:
-        """What operators see."""
+        """Current state for operators."""
         node = self._started
         return ReplicaStatus(
             name=self._name,
@@ -221,7 +227,7 @@
             raise RuntimeError("the replica is not started; call start() first")
         return self._node
 
-    # Inputs.
+    # Sources of events.
 
     async def _on_stream(self, batches: Any) -> AsyncIterator[peer_frames.PeerAck]:
         async for batch in batches:
@@ -236,35 +242,35 @@
     def _set_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        at = self._started.next_tick()
+        tick_at = self._started.next_tick()
         loop = asyncio.get_running_loop()
-        self._timer = loop.call_at(at, self._inbox.put_nowait, act.Tick())
+        self._timer = loop.call_at(tick_at, self._inbox.put_nowait, act.Tick())
 
-    # Decisions.
+    # Event processing.
 
-    async def _decide(self) -> None:
+    async def _process_events(self) -> None:
         while True:
             events = [await self._inbox.get()]
             while not self._inbox.empty():
                 events.append(self._inbox.get_nowait())
-            for event in _merged(events):
-                self._take(event)
-            if self._waiters and self._started.role is not Role.LEADER:
-                self._fail_waiters()
+            for event in _merge_proposals(events):
+                self._handle(event)
+            if self._open_proposals and self._started.role is not Role.LEADER:
+                self._fail_open_proposals()
             self._start_writing()
             self._set_timer()
 
-    def _take(self, event: act.Event | _Written) -> None:
+    def _handle(self, event: act.Event | _Written) -> None:
         if isinstance(event, _Written):
-            done, self._writing = self._writing, []
-            for item in done:
+            written, self._writing = self._writing, []
+            for item in written:
                 if isinstance(item, act.Send):
                     self._send(item)
-            event = self._writing_end
+            event = self._synced_event
         for action in self._started.step(event, self._now()):
-            self._carry_out(action)
+            self._execute(action)
 
-    def _carry_out(self, action: act.Action) -> None:
+    def _execute(self, action: act.Action) -> None:
         match action:
             case act.Send():
                 self._send_in_order(action)
@@ -274,22 +280,22 @@
             case act.Restore(snapshot):
                 self._machine.restore(snapshot.data)
             case act.TakeSnapshot(index):
-                self._take(act.SnapshotTaken(index, self._machine.snapshot()))
+                self._handle(act.SnapshotTaken(index, self._machine.snapshot()))
             case act.Accepted(number, index, term):
-                self._waiters[index] = _Waiter(number, term)
+                self._open_proposals[index] = _OpenProposal(number, term)
             case act.NotLeader(number, leader):
-                self._answer(number, Err(self._not_leader(leader)))
+                self._resolve(number, Err(self._not_leader(leader)))
             case act.MembersCommitted(membership):
                 names = [member.name for member in membership.members]
-                logger.info("members {}", names)
+                logger.info("committed members of the control log: {}", names)
             case _:
-                self._waiting_writes.append(action)
+                self._queued_writes.append(action)
 
     def _send_in_order(self, action: act.Send) -> None:
-        if not action.after_sync or not (self._waiting_writes or self._writing):
+        if not action.after_sync or not (self._queued_writes or self._writing):
             self._send(action)
-        elif len(self._waiting_writes) < MAX_WAITING_WRITES:
-            self._waiting_writes.append(action)
+        elif len(self._queued_writes) < MAX_QUEUED_WRITES:
+            self._queued_writes.append(action)
 
     def _send(self, action: act.Send) -> None:
         link = self._link(action.name)
@@ -297,9 +303,10 @@
             link.send(action.envelope)
 
     def _link(self, name: str) -> PeerLink | None:
-        """The link to a replica, opened on first use; None to this one or a stranger.
+        """Return the link to a replica, opened on first use; None for own and unknown
+        names.
 
-        In an open log the name of a replica is its address.
+        In an open group the name of a replica is its address.
         """
         if name == self._name:
             return None
@@ -313,34 +320,34 @@
         return self._cfg.replicas.get(name, name if self._raft.open_to else "")
 
     def _start_writing(self) -> None:
-        if self._writing or not self._waiting_writes:
+        if self._writing or not self._queued_writes:
             return
-        self._writing, self._waiting_writes = self._waiting_writes, []
+        self._writing, self._queued_writes = self._queued_writes, []
         node = self._started
-        self._writing_end = act.Synced(node.last_index, node.last_term)
+        self._synced_event = act.Synced(node.last_index, node.last_term)
         batch = [item for item in self._writing if not isinstance(item, act.Send)]
         self._disk.write(batch)
 
-    # Answers.
+    # Answers to proposals.
 
     def _apply(self, entry: Entry) -> None:
         answer = b""
         if entry.kind is EntryKind.COMMAND:
             answer = self._machine.apply(entry.index, entry.data)
-        waiter = self._waiters.pop(entry.index, None)
-        if waiter is None:
+        proposal = self._open_proposals.pop(entry.index, None)
+        if proposal is None:
             return
-        if waiter.term == entry.term and self.may_lead():
-            self._answer(waiter.number, Ok(answer))
+        if proposal.term == entry.term and self.may_lead():
+            self._resolve(proposal.number, Ok(answer))
         else:
-            self._answer(waiter.number, Err(_unknown()))
+            self._resolve(proposal.number, Err(_outcome_unknown()))
 
-    def _fail_waiters(self) -> None:
-        waiters, self._waiters = self._waiters, {}
-        for waiter in waiters.values():
-            self._answer(waiter.number, Err(_unknown()))
+    def _fail_open_proposals(self) -> None:
+        proposals, self._open_proposals = self._open_proposals, {}
+        for proposal in proposals.values():
+            self._resolve(proposal.number, Err(_outcome_unknown()))
 
-    def _answer(self, number: int, answer: Answer) -> None:
+    def _resolve(self, number: int, answer: Answer) -> None:
         future = self._futures.get(number)
         if future is not None and not future.done():
             future.set_result(answer)
@@ -358,15 +365,20 @@
         return asyncio.get_running_loop().time()
 
 
-def _unknown() -> Problem:
+def _outcome_unknown() -> Problem:
     return problem(NO_QUORUM, not_run=None, retry_after_s=RETRY_AFTER_S)
 
 
-def _merged(events: list[act.Event | _Written]) -> list[act.Event | _Written]:
-    """Make one batch of proposals that wait together."""
-    commands = [c for e in events if isinstance(e, act.Propose) for c in e.commands]
-    rest: list[act.Event | _Written] = []
-    rest += [event for event in events if not isinstance(event, act.Propose)]
+def _merge_proposals(events: list[act.Event | _Written]) -> list[act.Event | _Written]:
+    """Combine all queued proposals into one, placed after the other events."""
+    commands = [
+        command
+        for proposal in events
+        if isinstance(proposal, act.Propose)
+        for command in proposal.commands
+    ]
+    merged: list[act.Event | _Written] = []
+    merged += [event for event in events if not isinstance(event, act.Propose)]
     if commands:
-        rest.append(act.Propose(tuple(commands)))
-    return rest
+        merged.append(act.Propose(tuple(commands)))
+    return merged
--- a/gooseberrydale/process/control/signpost.py
+++ b/gooseberrydale/process/control/signpost.py
@@ -1,8 +1,8 @@
-"""Sends whoever calls control on an instance without a disk to a replica.
+"""Redirects control requests to a replica, from an instance that has no disk.
 
-Lives as long as the process.  What a replica acknowledges has to survive on its disk,
-so an instance without one keeps no part of the log.  Callers that reach it all the same
-are told the address of a listed replica that answers.
+A replica must store what it acknowledges on its own disk, so an instance without a disk
+holds no replica of the log. Callers that reach it anyway are redirected to a listed
+replica that answers. The setting ``control.signpost`` enables this.
 """
 
 from __future__ import annotations
@@ -17,8 +17,9 @@
 from gooseberrydale.process.cfg import Cfg, TlsCfg
 from gooseberrydale.process.http_server import HttpServer
 
-LOOK_S = 0.5
-"""What a look found holds for so long; callers give a silent replica a second."""
+CHECK_VALIDITY_S = 0.5
+"""Time for which the result of a check is reused; callers wait a second for a silent
+replica."""
 
 CONNECT_TIMEOUT_S = 0.3
 CLOSE_GRACE_S = 0.5
@@ -27,27 +28,27 @@
 
 
 class Signpost:
-    """One process; ``start`` it once and ``close`` it once.
+    """HTTP server that redirects every request; ``start`` it once, ``close`` it once.
 
-    Replicas are asked whether they answer when somebody calls, at most twice a second:
-    asked all the time, the replicas of a fleet of three hundred would accept hundreds
-    of connections a second that carry nothing.
+    Replicas are checked only when a request arrives, and at most twice a second. If
+    every process checked continuously, the replicas of a fleet of three hundred would
+    accept hundreds of connections a second that carry no request.
     """
 
     def __init__(self, cfg: Cfg) -> None:
         if cfg.control is None:
             raise ValueError("the settings have no [control] table; add one")
         own = cfg.control.http
-        self._replicas = [at for at in cfg.fleet.controls if at != own]
+        self._replicas = [address for address in cfg.fleet.controls if address != own]
         self._answering: Sequence[str] = ()
-        self._looked_at = -math.inf
-        self._looking = asyncio.Lock()
-        self._turn = itertools.count()
+        self._checked_at = -math.inf
+        self._check_lock = asyncio.Lock()
+        self._next_index = itertools.count()
         self._http = HttpServer(self._answer, own, TlsCfg())
 
     @property
     def addresses(self) -> Mapping[str, str]:
-        """The listener, known once started."""
+        """Address of the listener; valid once started."""
         return {"http": self._http.address}
 
     async def start(self) -> None:
@@ -58,25 +59,25 @@
         """Stop serving."""
         await self._http.close(CLOSE_GRACE_S)
 
-    async def _look(self) -> None:
-        """Ask the replicas, unless that was done a moment ago."""
+    async def _check_replicas(self) -> None:
+        """Check which replicas answer, unless a recent result is still valid."""
         loop = asyncio.get_running_loop()
-        async with self._looking:
-            if loop.time() < self._looked_at + LOOK_S:
+        async with self._check_lock:
+            if loop.time() < self._checked_at + CHECK_VALIDITY_S:
                 return
-            found = await asyncio.gather(*map(_answers, self._replicas))
-            pairs = zip(self._replicas, found, strict=True)
+            results = await asyncio.gather(*map(_answers, self._replicas))
+            pairs = zip(self._replicas, results, strict=True)
             self._answering = [address for address, answers in pairs if answers]
-            self._looked_at = loop.time()
+            self._checked_at = loop.time()
 
     async def _answer(self, scope: Scope, _receive: Receive, send: Send) -> None:
         if scope["type"] != "http":
             return
-        await self._look()
+        await self._check_replicas()
         headers = [(b"content-length", b"0")]
         status = UNAVAILABLE
         if self._answering:
-            address = self._answering[next(self._turn) % len(self._answering)]
+            address = self._answering[next(self._next_index) % len(self._answering)]
             target = f"http://{address}".encode() + scope["raw_path"]
             headers.append((b"location", target))
             status = REDIRECT
@@ -87,7 +88,7 @@
 
 
 async def _answers(address: str) -> bool:
-    """Whether something listens at ``address``."""
+    """Return whether a process accepts connections at ``address``."""
     host, _, port = address.rpartition(":")
     try:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
--- a/gooseberrydale/process/control/tasks.py
+++ b/gooseberrydale/process/control/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that live as long as the role: a failure of one must not go unseen."""
+"""Starts and stops background tasks of the control role, and reports their failures."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 def spawn(coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-    """Run ``coroutine`` as a task; its failure goes to the loop's handler.
+    """Run ``coroutine`` as a task; failures go to the event loop's exception handler.
 
-    The process ends on a broken invariant, which would otherwise be noticed only
-    when the task is collected.
+    A broken invariant must end the process. Without the handler it would be noticed
+    only when the task is garbage-collected.
     """
     task = asyncio.get_running_loop().create_task(coroutine)
-    task.add_done_callback(_report)
+    task.add_done_callback(_report_failure)
     return task
 
 
@@ -26,9 +26,12 @@
     tasks.clear()
 
 
-def _report(task: asyncio.Task[None]) -> None:
+def _report_failure(task: asyncio.Task[None]) -> None:
     if task.cancelled() or task.exception() is None:
         return
     task.get_loop().call_exception_handler(
-        {"message": "a task of control failed", "exception": task.exception()}
+        {
+            "message": "a background task of the control role failed",
+            "exception": task.exception(),
+        }
     )
--- a/gooseberrydale/process/control/upkeep.py
+++ b/gooseberrydale/process/control/upkeep.py
@@ -1,6 +1,6 @@
-"""What the leader proposes of itself: its bounds, and the passing of time.
+"""Periodic proposals of the leader: the configured limits, and the current time.
 
-Lives as long as the process; a replica that does not lead does nothing.
+A replica that doesn't lead proposes nothing.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Upkeep:
-    """Keeps committed bounds and committed time up to date."""
+    """Updates the committed limits and the committed time when they are outdated."""
 
     def __init__(
         self,
@@ -37,11 +37,11 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Begin to look after the state."""
+        """Start the periodic check."""
         self._tasks.append(spawn(self._run()))
 
     async def close(self) -> None:
-        """Stop."""
+        """Stop the periodic check."""
         await stop(self._tasks)
 
     async def _run(self) -> None:
@@ -52,12 +52,13 @@
 
     async def _propose_due(self) -> None:
         if self._state.limits != self._limits:
-            await self._commit.ask(SetLimitsReq(self._limits))
+            await self._commit.submit(SetLimitsReq(self._limits))
         if self._is_due():
-            await self._commit.ask(TickReq())
+            await self._commit.submit(TickReq())
 
     def _is_due(self) -> bool:
-        # After a recovery any entry will do to leave the lost revisions behind.
+        # Committing any entry after a recovery makes the state skip the revision
+        # numbers that were lost.
         if self._state.cluster != self._proposer.cluster:
             return True
         due_s = self._state.next_due_s()
--- a/gooseberrydale/process/control/weights_rollout.py
+++ b/gooseberrydale/process/control/weights_rollout.py
@@ -1,9 +1,9 @@
-"""Brings the engines to the weights that operators have named.
+"""Changes engines to the weights that operators have named.
 
-Lives as long as the process; only the replica that leads gives orders, under its term
-as fencing number, and asks whether it still leads before each one.  An order without
-an answer may be carried out late; it names how many orders came before it, so that
-one that was overtaken is void.
+Only the leading replica sends orders, with its term as fencing number, and it checks
+that it still leads before each one. An order that was not answered may be executed
+late, so each order states how many orders the engine has accepted before it. The engine
+rejects an order that a later one has superseded.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.log_events import WeightsOrdered, emit
 from gooseberrydale.process.control.announcements import Announcements
-from gooseberrydale.process.control.engine_survey import EngineSurvey
+from gooseberrydale.process.control.engine_survey import EnginePoller
 from gooseberrydale.process.control.machine import PublishingMachine
 from gooseberrydale.process.control.replica import Replica
 from gooseberrydale.process.control.tasks import spawn, stop
@@ -34,47 +34,50 @@
     due,
 )
 
-LOOK_S = 0.1
-"""How often the leader looks for engines that are behind."""
+CHECK_INTERVAL_S = 0.1
+"""Interval at which the leader checks for engines with outdated weights."""
 
-MARK_SETTLE_S = 0.3
-"""Between a mark and the order.  The mark reaches the entries within 20 ms; the rest is
-for what waits inside the engine: a request that has not begun when the order comes is
-refused, costs a retry and is late elsewhere.  Prompts wait for some 100 to 300 ms on a
-busy engine; its streams run on for longer, so that the change ends no later."""
+MARK_PROPAGATION_S = 0.3
+"""Delay between marking an engine and the order. Entries receive the mark within 20 ms;
+the rest lets requests start that already wait in the engine. A request that hasn't
+started when the order arrives is refused, costs a retry and is late at another engine.
+Prompts wait some 100 to 300 ms on a busy engine. Its streams run longer than that, so
+this delay doesn't prolong the change."""
 
-FEW_RUNS = 2
-"""With this many runs left, an engine does not wait for their end: they go on with the
-new weights.  Those are the longest streams, which were moved before and may not be
-moved again; for one or two of them an engine was away for two seconds of the three that
-a change took, a third of what six engines carry while two change."""
+MAX_KEPT_RUNS = 2
+"""An engine with at most this many runs doesn't wait for them; they continue with the
+new weights. The remaining runs are the longest streams, which have been moved before
+and may not be moved again. Waiting for one or two of them kept an engine out of service
+for two of the three seconds of a change. While two of six engines change, that is a
+third of their capacity."""
 
-DRAIN_S = 1.0
-"""How long an engine is given to come down to so few; most of its streams have been
+MAX_DRAIN_S = 1.0
+"""Longest wait for an engine to drain to that many runs; most of its streams have been
 moved or have ended after 0.7 s."""
 
 DRAIN_POLL_S = 0.2
-"""Between two looks at an engine that comes down: its report lags by as much."""
+"""Interval between polls of a draining engine; its report lags by as much."""
 
 REPORT_LAG_S = 0.4
-"""After an accepted order: an engine's report lags by 200 ms, and a load takes about
-this long in any case."""
+"""Delay after an accepted order before the next poll: an engine's report lags by 200
+ms, and a load takes at least about this long."""
 
-POLL_S = 0.12
-"""Between two looks at an engine that changes: a part of the time that a load takes,
-as long as which the engine stays out of service for nothing."""
+LOAD_POLL_S = 0.12
+"""Interval between polls of an engine that loads weights. It is a fraction of the
+loading time, because the engine stays out of service until the poll after the load."""
 
-CHANGE_BOUND_S = 6.0
-"""After this the engine is left for another try; runs and load take two at most."""
+MAX_CHANGE_S = 6.0
+"""Time limit for changing one engine, after which it is left for a later attempt.
+Draining and loading take two seconds at most."""
 
-RESEND_AFTER_S = 0.1
-"""An engine that shows no sign of an unanswered order after this is given it again: the
-order that is carried out first makes the other one void, and meanwhile the engine is
-out of service."""
+RESEND_DELAY_S = 0.1
+"""Delay before an unanswered order is sent again if the engine's report shows no effect
+of it. Whichever copy is executed first makes the other one void, and the engine is out
+of service meanwhile."""
 
 
 class WeightsRollout:
-    """One task looks for engines that are behind; one task changes each of them."""
+    """Checks for outdated engines in one task and changes each in a task of its own."""
 
     def __init__(
         self,
@@ -87,8 +90,10 @@
         pause_s: float,
         bound_s: float,
     ) -> None:
-        """Orders wait ``pause_s`` after an election; work may start on overtaken
-        weights for ``bound_s`` after newer ones were named.
+        """Orders start ``pause_s`` after an election.
+
+        Engines may start work on outdated weights for ``bound_s`` after newer ones were
+        named.
         """
         self._name = name
         self._machine = machine
@@ -100,46 +105,49 @@
         self._bound_s = bound_s
         self._named = NamedWeights()
         self._term = 0
-        self._led_since = 0.0
+        self._leader_since = 0.0
         self._fenced_term = 0
         self._seq = itertools.count(1)
-        self._survey = EngineSurvey(directory, engines)
+        self._poller = EnginePoller(directory, engines)
         self._changing: dict[str, asyncio.Task[None]] = {}
         self._tasks: list[asyncio.Task[None]] = []
 
     async def start(self) -> None:
-        """Begin to look."""
+        """Start the periodic check."""
         self._tasks.append(spawn(self._run()))
 
     async def close(self) -> None:
-        """Stop; the next leader goes on."""
+        """Stop; the next leader continues the rollout."""
         await stop(self._tasks)
         await stop(list(self._changing.values()))
-        await self._survey.close()
+        await self._poller.close()
 
     async def _run(self) -> None:
         while True:
             self._named.note(self._machine.state.config.weights, _now())
             if self._may_order():
-                for name in self._due():
-                    self._begin(name)
-                self._survey.ask_silent()
-            await asyncio.sleep(LOOK_S)
+                for name in self._choose_engines():
+                    self._start_change(name)
+                self._poller.retry_silent()
+            await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _may_order(self) -> bool:
-        """Whether this replica leads, and orders of an earlier leader have arrived."""
+        """Return whether this replica leads and may send orders.
+
+        After an election it waits until orders of an earlier leader have arrived.
+        """
         if not self._replica.may_lead():
             self._term = 0
             return False
         term = self._replica.status.term
         if term != self._term:
             self._term = term
-            self._led_since = _now()
+            self._leader_since = _now()
         if term == self._fenced_term:
             return False
-        return _now() >= self._led_since + self._pause_s
+        return _now() >= self._leader_since + self._pause_s
 
-    def _due(self) -> list[str]:
+    def _choose_engines(self) -> list[str]:
         named = self._machine.state.config.weights
         if not named:
             return []
@@ -149,102 +157,116 @@
                 record.model,
                 int(record.weights_version or 0),
                 record.leaving,
-                self._survey.running(record.name),
+                self._poller.running(record.name),
             )
             for record in self._directory.records(_now())
             if record.model and not is_mark(record)
         ]
-        behind = {e.model for e in engines if e.version < named.get(e.model, 0)}
-        members = [e.name for e in engines if e.model in behind and not e.leaving]
-        if self._survey.look(members, self._changing):
-            # Who is dead, and who has the least to do, is known at the next look.
+        outdated_models = {
+            engine.model
+            for engine in engines
+            if engine.version < named.get(engine.model, 0)
+        }
+        members = [
+            engine.name
+            for engine in engines
+            if engine.model in outdated_models and not engine.leaving
+        ]
+        if self._poller.poll(members, self._changing):
+            # The reports arrive before the next check; until then it is unknown which
+            # engines respond and which have the fewest requests.
             return []
-        left_s = self._left_s(engines)
-        return due(engines, named, self._changing, self._survey.away, left_s)
+        remaining_s = self._remaining_s(engines)
+        return due(
+            engines, named, self._changing, self._poller.unresponsive, remaining_s
+        )
 
-    def _left_s(self, engines: list[EngineWeights]) -> dict[str, float]:
-        """Seconds by model until its engines shall have the newest weights.
+    def _remaining_s(self, engines: list[EngineWeights]) -> dict[str, float]:
+        """Return the seconds until the engines of each model must have the newest
+        weights.
 
-        Engines that come back with weights overtaken long ago don't hurry the others.
+        Engines that start up with weights that were outdated long ago don't shorten it.
         """
-        used = USED_PART_SHORT if self._survey.away else USED_PART
-        allowed_s = self._bound_s * used
-        left: dict[str, float] = {}
+        usable_fraction = USED_PART_SHORT if self._poller.unresponsive else USED_PART
+        allowed_s = self._bound_s * usable_fraction
+        remaining: dict[str, float] = {}
         for engine in engines:
-            old_s = self._named.old_for_s(engine.model, engine.version, _now())
-            if 0.0 < old_s < allowed_s:
-                left_s = allowed_s - old_s
-                left[engine.model] = min(left.get(engine.model, left_s), left_s)
-        return left
+            outdated_s = self._named.old_for_s(engine.model, engine.version, _now())
+            if 0.0 < outdated_s < allowed_s:
+                remaining_s = allowed_s - outdated_s
+                remaining[engine.model] = min(
+                    remaining.get(engine.model, remaining_s), remaining_s
+                )
+        return remaining
 
-    def _begin(self, name: str) -> None:
+    def _start_change(self, name: str) -> None:
         task = spawn(self._change(name))
         self._changing[name] = task
         task.add_done_callback(lambda _: self._changing.pop(name, None))
 
     async def _change(self, name: str) -> None:
-        """Bring one engine to the newest weights, or leave it after a bound."""
-        until = _now() + CHANGE_BOUND_S
-        drained_by = _now() + MARK_SETTLE_S + DRAIN_S
+        """Change one engine to the newest weights, or give up at the time limit."""
+        give_up_at = _now() + MAX_CHANGE_S
+        drain_deadline = _now() + MARK_PROPAGATION_S + MAX_DRAIN_S
         self._mark(name, over=False)
         try:
-            await asyncio.sleep(MARK_SETTLE_S)
-            while self._may_order() and _now() < until:
+            await asyncio.sleep(MARK_PROPAGATION_S)
+            while self._may_order() and _now() < give_up_at:
                 engine = self._directory.get(name, _now())
                 if engine is None or engine.leaving:
                     return
-                if await self._step(engine, drained_by):
+                if await self._step(engine, drain_deadline):
                     return
                 self._mark(name, over=False)
         finally:
             self._mark(name, over=True)
 
-    async def _step(self, engine: UpstreamRecord, drained_by: float) -> bool:
-        """One report and at most one order; say whether the engine is done with."""
-        wanted = self._machine.state.config.weights.get(engine.model, 0)
+    async def _step(self, engine: UpstreamRecord, drain_deadline: float) -> bool:
+        """Poll once and send at most one order; return whether the change has ended."""
+        target = self._machine.state.config.weights.get(engine.model, 0)
         report = await self._engines.report(engine)
         if report is None:
-            self._survey.silent(engine.name)
+            self._poller.mark_silent(engine.name)
             return True
-        held = report.versions.get(engine.model, 0)
-        if held >= wanted and not report.busy:
-            self._announcements.has_weights(engine.name, str(held), report.born_ms)
+        loaded = report.versions.get(engine.model, 0)
+        if loaded >= target and not report.busy:
+            self._announcements.has_weights(engine.name, str(loaded), report.born_ms)
             return True
-        draining = report.running > FEW_RUNS and _now() < drained_by
+        draining = report.running > MAX_KEPT_RUNS and _now() < drain_deadline
         if report.busy or draining or not self._may_order():
-            await asyncio.sleep(DRAIN_POLL_S if draining else POLL_S)
+            await asyncio.sleep(DRAIN_POLL_S if draining else LOAD_POLL_S)
             return False
-        return await self._order(engine, wanted, report)
+        return await self._order(engine, target, report)
 
     async def _order(
-        self, engine: UpstreamRecord, wanted: int, report: EngineReport
+        self, engine: UpstreamRecord, target: int, report: EngineReport
     ) -> bool:
         order = WeightsOrder(
             model=engine.model,
-            version=wanted,
+            version=target,
             holder=self._name,
             number=self._term,
             after=report.accepted,
-            keep_runs=0 < report.running <= FEW_RUNS,
+            keep_runs=0 < report.running <= MAX_KEPT_RUNS,
         )
         answer = await self._engines.order(engine, order)
         outcome = answer.name.lower()
-        emit(WeightsOrdered(engine.name, wanted, order.number, order.after, outcome))
+        emit(WeightsOrdered(engine.name, target, order.number, order.after, outcome))
         match answer:
             case OrderAnswer.FENCED:
-                # Another replica leads; this one learns of it from the log.
+                # Another replica leads; this one learns that from the log.
                 self._fenced_term = order.number
                 return True
             case OrderAnswer.OTHER_INCARNATION:
-                # Its address has passed on, so this incarnation has ended.
+                # Another incarnation has taken over its address, so this one has ended.
                 self._announcements.retire(engine.name)
                 return True
             case OrderAnswer.ACCEPTED:
                 await asyncio.sleep(REPORT_LAG_S)
             case OrderAnswer.UNKNOWN:
-                await asyncio.sleep(RESEND_AFTER_S)
+                await asyncio.sleep(RESEND_DELAY_S)
             case _:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(LOAD_POLL_S)
         return False
 
     def _mark(self, name: str, *, over: bool) -> None:
--- a/gooseberrydale/process/membership.py
+++ b/gooseberrydale/process/membership.py
@@ -1,8 +1,8 @@
-"""The process's part in the mesh: who is there, and which configuration holds.
+"""Membership of the process in the mesh that connects all processes.
 
-Lives as long as the process.  ``Mesh`` opens the sessions that the role calls
-for, announces the process's own upstream, if there is one, and ends leases.
-Processes that serve sessions also ``register`` it with their gRPC listener.
+``Mesh`` opens the sessions that the role needs, announces the process's own upstream if
+it has one, and expires leases. Processes that accept sessions also ``register`` it with
+their gRPC listener.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 __all__ = ["Mesh", "OwnRecord", "PeerState"]
 
 SIDECAR_ENTRY_SESSIONS = 8
-"""Entries that a sidecar keeps sessions to, at most."""
+"""Maximum number of entries that a sidecar holds sessions to."""
 
 ENTRY_ENTRY_SESSIONS = 3
-"""Other entries that an entry keeps sessions to, at most."""
+"""Maximum number of other entries that an entry holds sessions to."""
 
 RENEWALS_PER_LEASE = 3
 EXPIRY_INTERVAL_S = 0.5
@@ -53,10 +53,10 @@
 class Mesh:
     """Sessions, announcements and leases of one process; start it once.
 
-    ``role`` is ``entry``, ``sidecar`` or ``control``.  ``own_record`` is asked for
-    each announcement, or None while there is nothing to announce; the mesh sets
-    ``seq`` itself.  ``ended_incarnations`` are told to all others but sidecars.
-    ``on_ack`` is called with a :class:`PeerState` whenever a process tells its
+    ``role`` is ``entry``, ``sidecar`` or ``control``. ``own_record`` is called for each
+    announcement and returns None while there is nothing to announce; the mesh sets
+    ``seq`` itself. ``ended_incarnations`` are sent to all peers but sidecars.
+    ``on_ack`` is called with a :class:`PeerState` whenever a process reports its
     revision.
     """
 
@@ -98,27 +98,27 @@
         self._started_at = 0.0
 
     def register(self, rpc_server: RpcServer) -> None:
-        """Serve mesh sessions on ``rpc_server``; call before its ``start``."""
+        """Accept mesh sessions on ``rpc_server``; call this before its ``start``."""
         self._server.register(rpc_server)
 
     async def start(self) -> None:
-        """Open the sessions, announce the own record, begin to end leases.
+        """Open the sessions and start announcing the own record and expiring leases.
 
-        Does not wait for any session.
+        Returns without waiting for any session.
         """
         self._started_at = asyncio.get_running_loop().time()
         await self._node.start()
         self._tasks = [
             asyncio.create_task(self._announcer.run()),
-            asyncio.create_task(self._end_leases()),
+            asyncio.create_task(self._expire_leases()),
         ]
         for client in self._clients:
             await client.start()
 
     async def close(self) -> None:
-        """End all sessions; leases held elsewhere run out.
+        """Close all sessions; leases that other processes hold then expire.
 
-        Call it before the listener's ``close``, which waits for open streams.
+        Call this before closing the listener, which waits for open streams.
         """
         for task in self._tasks:
             task.cancel()
@@ -129,46 +129,49 @@
         await self._node.close()
 
     def announce(self) -> None:
-        """Announce the own record now, because it changed."""
+        """Announce the own record immediately, because it changed."""
         self._announcer.announce()
 
     @property
     def connected(self) -> bool:
-        """Whether any session is open whose peer was heard."""
+        """Whether any session is open whose peer has sent a message."""
         return bool(self._node.peers())
 
     @property
     def behind(self) -> bool:
-        """Whether a peer has told a higher revision than is in force here."""
+        """Whether a peer has reported a higher revision than is in force here."""
         return self._node.highest_revision > self._node.store.revision
 
     @property
     def control_silence_s(self) -> float:
-        """Seconds since a control replica was last heard, or since the start."""
+        """Seconds since the last message of a control replica, or since the start."""
         now = asyncio.get_running_loop().time()
         return now - max(self._node.control_heard_at, self._started_at)
 
     def peers(self) -> tuple[PeerState, ...]:
-        """Every process with an open session here, each once, as last heard."""
+        """Return the last received state of each process with an open session."""
         newest: dict[tuple[str, str], PeerState] = {}
         for peer in sorted(self._node.peers(), key=lambda peer: peer.heard_at):
             newest[peer.role, peer.name] = peer
         return tuple(newest.values())
 
-    async def _end_leases(self) -> None:
+    async def _expire_leases(self) -> None:
         directory = self._node.directory
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             now = asyncio.get_running_loop().time()
             self._node.ended_incarnations.expire(now)
             for name in directory.expire(now):
-                # Marks of orders end in this way as a rule.
+                # Order marks expire in normal operation, so they aren't logged.
                 if not is_mark_name(name):
-                    logger.warning("lease of upstream {} ended", name)
+                    logger.warning(
+                        "lease of upstream {} expired without a renewal; removed it",
+                        name,
+                    )
 
 
 class _Announcer:
-    """Renews the own record in the own directory; sessions carry it on."""
+    """Renews the own record in the local directory; sessions propagate it."""
 
     def __init__(
         self, own_record: OwnRecord | None, directory: Directory, rng: random.Random
@@ -181,12 +184,12 @@
         self._replaced = False
 
     def announce(self) -> None:
-        """Do the next announcement now."""
+        """Make the next announcement immediately."""
         if self._alarm is not None:
             self._alarm.by(asyncio.get_running_loop().time())
 
     async def run(self) -> None:
-        """Announce at once and then whenever a third of the lease has passed."""
+        """Announce at the start and then whenever a third of the lease has passed."""
         if self._own_record is None:
             return
         self._alarm = Alarm()
@@ -196,7 +199,8 @@
             await self._alarm.wait()
 
     def _announce_once(self, record: UpstreamRecord | None, now: float) -> float:
-        """Offer ``record``; return how long to wait until the next time."""
+        """Store ``record`` in the directory; return the delay until the next
+        announcement."""
         if record is None:
             return NO_RECORD_INTERVAL_S
         self._seq += 1
@@ -205,34 +209,35 @@
         return record.lease_s / RENEWALS_PER_LEASE * self._rng.uniform(0.9, 1.0)
 
     def _report_replaced(self, record: UpstreamRecord, now: float) -> None:
-        later = self._directory.get(record.name, now)
-        if later is None or self._replaced:
+        newer_record = self._directory.get(record.name, now)
+        if newer_record is None or self._replaced:
             return
         self._replaced = True
         reason = problem(
             REPLACED_INCARNATION,
             name=record.name,
-            later=later.incarnation,
+            later=newer_record.incarnation,
             own=record.incarnation,
         )
         logger.error("{}", reason.message)
 
 
 def _targets(cfg: Cfg, role: str) -> tuple[str, ...]:
-    """Addresses to open sessions to: controls, and some of the entries."""
+    """Return the addresses to open sessions to: control replicas and some entries."""
     if role == CONTROL_ROLE:
-        # Replicas of an open group tell each other of upstreams; it has no list of
-        # all replicas that the other processes could go by.
+        # Replicas of an open group send each other the records of upstreams. Other
+        # processes open no sessions to them, as they have no list of all replicas.
         return cfg.fleet.control_rpc if cfg.control and cfg.control.open_group else ()
     entries = [EntryPoint(address) for address in cfg.fleet.entries]
-    bound = SIDECAR_ENTRY_SESSIONS
+    max_sessions = SIDECAR_ENTRY_SESSIONS
     if role == ENTRY_ROLE:
-        bound = ENTRY_ENTRY_SESSIONS
+        max_sessions = ENTRY_ENTRY_SESSIONS
         own = cfg.entry.rpc if cfg.entry is not None else ""
         others = [entry for entry in entries if entry.address != own]
-        # An entry that listens on another address than its listed one finds itself
-        # only on connecting; one more session makes up for that.
-        bound += len(others) == len(entries)
+        # An entry that listens on another address than its listed one can't exclude
+        # itself from the list and may connect to itself; one more session compensates
+        # for that.
+        max_sessions += len(others) == len(entries)
         entries = others
-    chosen = session_targets(cfg.node.name, cfg.node.zone, entries, bound)
+    chosen = session_targets(cfg.node.name, cfg.node.zone, entries, max_sessions)
     return cfg.fleet.control_rpc + chosen
--- a/tests/builders_control.py
+++ b/tests/builders_control.py
@@ -1,4 +1,4 @@
-"""Builders of requests, commands and states of control for tests."""
+"""Builders of requests, commands and state of the control role, for tests."""
 
 from __future__ import annotations
 
@@ -78,7 +78,7 @@
 def run(
     state: ControlState, *requests: Any, wall_s: float = 0.0, cluster: str = ""
 ) -> list[Any]:
-    """Commit requests as one entry and return their replies."""
+    """Apply requests to ``state`` as one entry and return their replies."""
     entry = command(*requests, wall_s=wall_s, cluster=cluster)
     answer = state.apply(state.index + 1, entry)
     return [decode(reply) for reply in decode(answer).replies]
--- a/tests/test_control_calls.py
+++ b/tests/test_control_calls.py
@@ -1,4 +1,4 @@
-"""Calls between control and other processes, on real sockets over loopback."""
+"""Calls between control and other processes, over real sockets on loopback."""
 
 from __future__ import annotations
 
@@ -24,12 +24,12 @@
 from tests.builders_control import claim, order
 from tests.builders_operators import ANY_PORT, FLEET_TOKEN, running_control
 
-BOUND_S = 20.0
-NOBODY = "127.0.0.1:1"
+TIMEOUT_S = 20.0
+UNREACHABLE = "127.0.0.1:1"
 
 
 class FakeSidecar:
-    """Answers orders as told; each answer but the last is given once."""
+    """Answers orders with the given replies in turn, then repeats the last one."""
 
     def __init__(self, *answers: OrderReply) -> None:
         self.answers = list(answers)
@@ -66,9 +66,9 @@
 ):
     async def main() -> None:
         sidecar = FakeSidecar(*answers)
-        async with running_control() as control, asyncio.timeout(BOUND_S):
+        async with running_control() as control, asyncio.timeout(TIMEOUT_S):
             await sidecar.announce(control)
-            (await control._commit.ask(order("e1"))).unwrap()
+            (await control._commit.submit(order("e1"))).unwrap()
             while control.state.orders.orders[0].state is OrderState.ISSUED:
                 await asyncio.sleep(0.01)
             assert control.state.orders.orders[0].state is state
@@ -78,24 +78,24 @@
     asyncio.run(main())
 
 
-def test_order_without_an_answer_is_lost_after_its_deadline():
+def test_unanswered_order_is_lost_after_its_deadline():
     async def main() -> None:
         async with running_control(order_deadline_s=0.2) as control:
-            async with asyncio.timeout(BOUND_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 while control.state.limits.order_deadline_s != 0.2:
                     await asyncio.sleep(0.01)
-                (await control._commit.ask(order("e1"))).unwrap()
+                (await control._commit.submit(order("e1"))).unwrap()
                 while control.state.orders.orders[0].state is not OrderState.LOST:
                     await asyncio.sleep(0.01)
 
     asyncio.run(main())
 
 
-def test_only_the_leader_gives_orders(monkeypatch):
+def test_only_the_leader_sends_orders(monkeypatch):
     async def main() -> None:
         sidecar = FakeSidecar(OrderReply(1, True))
-        async with running_control() as control, asyncio.timeout(BOUND_S):
-            (await control._commit.ask(order("e1"))).unwrap()
+        async with running_control() as control, asyncio.timeout(TIMEOUT_S):
+            (await control._commit.submit(order("e1"))).unwrap()
             with monkeypatch.context() as deposed:
                 deposed.setattr(InMemoryProposer, "leads", False)
                 await sidecar.announce(control)
@@ -110,19 +110,19 @@
 
 
 class FakeReplica:
-    """A control replica that answers every request alike."""
+    """A control replica that gives the same reply to every request."""
 
     def __init__(self, reply: ClaimReply) -> None:
         self.reply = reply
-        self.asked = 0
-        self.pauses_s: list[float] = []
+        self.requests = 0
+        self.delays_s: list[float] = []
         self.server = RpcServer(ANY_PORT, FLEET_TOKEN)
         self.server.unary(PROPOSE, self.handle)
 
     async def handle(self, _req: object) -> ClaimReply:
-        self.asked += 1
-        if self.pauses_s:
-            await asyncio.sleep(self.pauses_s.pop(0))
+        self.requests += 1
+        if self.delays_s:
+            await asyncio.sleep(self.delays_s.pop(0))
         return self.reply
 
     async def start(self) -> str:
@@ -130,16 +130,16 @@
         return f"127.0.0.1:{self.server.port}"
 
 
-def test_client_follows_the_hint_to_the_leader_and_stays_there():
+def test_client_follows_the_redirect_to_the_leader_and_keeps_using_it():
     async def main() -> None:
         leader = FakeReplica(ClaimReply(granted=True))
-        at = await leader.start()
-        not_leader = problem(NOT_LEADER, leader=at)
-        follower = FakeReplica(ClaimReply(problem=not_leader, leader=at))
+        address = await leader.start()
+        not_leader = problem(NOT_LEADER, leader=address)
+        follower = FakeReplica(ClaimReply(problem=not_leader, leader=address))
         client = ControlClient([await follower.start()], FLEET_TOKEN)
         for _ in range(3):
-            assert (await client.ask(claim(), BOUND_S)).unwrap().granted
-        assert (follower.asked, leader.asked) == (1, 3)
+            assert (await client.ask(claim(), TIMEOUT_S)).unwrap().granted
+        assert (follower.requests, leader.requests) == (1, 3)
         await client.close()
         await leader.server.close()
         await follower.server.close()
@@ -147,41 +147,41 @@
     asyncio.run(main())
 
 
-def test_client_passes_over_replicas_that_are_gone_or_without_quorum():
+def test_client_skips_unreachable_replicas_and_those_without_quorum():
     async def main() -> None:
         cut_off = FakeReplica(ClaimReply(problem=problem(NO_QUORUM)))
         leader = FakeReplica(ClaimReply(granted=True))
-        addresses = [NOBODY, await cut_off.start(), await leader.start()]
+        addresses = [UNREACHABLE, await cut_off.start(), await leader.start()]
         for seed in range(4):
             client = ControlClient(addresses, FLEET_TOKEN, rng=random.Random(seed))
-            assert (await client.ask(claim(), BOUND_S)).unwrap().granted
+            assert (await client.ask(claim(), TIMEOUT_S)).unwrap().granted
             await client.close()
-        assert cut_off.asked
+        assert cut_off.requests
         await leader.server.close()
         await cut_off.server.close()
 
     asyncio.run(main())
 
 
-def test_a_call_that_times_out_leaves_the_others_alone():
+def test_a_call_that_times_out_does_not_fail_concurrent_calls():
     async def main() -> None:
         replica = FakeReplica(ClaimReply(granted=True))
         client = ControlClient([await replica.start()], FLEET_TOKEN)
-        replica.pauses_s = [3 * CALL_TIMEOUT_S, 0.8 * CALL_TIMEOUT_S]
-        first = asyncio.create_task(client.ask(claim("k1"), BOUND_S))
+        replica.delays_s = [3 * CALL_TIMEOUT_S, 0.8 * CALL_TIMEOUT_S]
+        first = asyncio.create_task(client.ask(claim("k1"), TIMEOUT_S))
         await asyncio.sleep(0.5 * CALL_TIMEOUT_S)
-        second = await client.ask(claim("k2"), BOUND_S)
+        second = await client.ask(claim("k2"), TIMEOUT_S)
         assert second.unwrap().granted and (await first).unwrap().granted
-        assert replica.asked == 3
+        assert replica.requests == 3
         await client.close()
         await replica.server.close()
 
     asyncio.run(main())
 
 
-def test_client_says_so_when_nobody_can_commit():
+def test_client_reports_that_no_replica_can_commit():
     async def main() -> None:
-        client = ControlClient([NOBODY], FLEET_TOKEN)
+        client = ControlClient([UNREACHABLE], FLEET_TOKEN)
         refused = (await client.ask(claim(), 0.3)).unwrap_err()
         assert (refused.code, refused.retry_after_s) == ("claim_unavailable", 1.0)
         await client.close()
@@ -189,12 +189,12 @@
     asyncio.run(main())
 
 
-def test_a_refusal_that_stays_is_handed_on():
+def test_a_permanent_refusal_is_returned_without_a_retry():
     async def main() -> None:
         replica = FakeReplica(Ack(problem=problem(INTERNAL)))  # type: ignore[arg-type]
         client = ControlClient([await replica.start()], FLEET_TOKEN)
-        reply = (await client.ask(claim(), BOUND_S)).unwrap()
-        assert reply.problem.code == "internal" and replica.asked == 1
+        reply = (await client.ask(claim(), TIMEOUT_S)).unwrap()
+        assert reply.problem.code == "internal" and replica.requests == 1
         await client.close()
         await replica.server.close()
 
--- a/tests/test_control_open.py
+++ b/tests/test_control_open.py
@@ -1,4 +1,4 @@
-"""Control of an open group over real sockets and files, as its operators see it."""
+"""Control processes of an open group, over real sockets and files."""
 
 from __future__ import annotations
 
@@ -24,21 +24,21 @@
 from tests.builders_files import free_address
 from tests.builders_gateway import record
 
-PATIENCE_S = 60.0
+TIMEOUT_S = 60.0
 
 
 class NoEngines:
-    """No engine answers."""
+    """Engine interface through which no engine answers."""
 
     async def report(self, _engine: Any) -> None:
         return None
 
     async def order(self, _engine: Any, _order: Any) -> Any:
-        raise AssertionError("nothing is named")
+        raise AssertionError("no weights are named, so no order is expected")
 
 
 class Replica:
-    """One control process with what its operators' interface is given."""
+    """A control process with the objects that its operators' interface receives."""
 
     def __init__(
         self, folder: pathlib.Path, address: str, seeds: tuple[str, ...], first: bool
@@ -57,26 +57,28 @@
                 snapshot_entries=8,
             ),
         )
-        surroundings = Surroundings(self._make_app, NoEngines())
-        self.control = Control(cfg, surroundings=surroundings)
+        interface = Surroundings(self._make_app, NoEngines())
+        self.control = Control(cfg, interface=interface)
 
-    def _make_app(self, documents: Documents, news: Announcements) -> Starlette:
-        self.documents, self.announcements = documents, news
+    def _make_app(
+        self, documents: Documents, announcements: Announcements
+    ) -> Starlette:
+        self.documents, self.announcements = documents, announcements
         return Starlette()
 
-    async def put(self, number: int) -> bool:
-        """Declare a document; whether it was acknowledged."""
+    async def declare_document(self, number: int) -> bool:
+        """Declare a document; return whether it was acknowledged."""
         assert self.documents is not None
         body = b"document %d" % number
         return (await self.documents.declare(Document(number, body))).is_ok()
 
     async def number(self) -> int | None:
-        """The number read back; None if it can't be known."""
+        """Return the number of the document read; None if it can't be confirmed."""
         assert self.documents is not None
-        found = await self.documents.read()
-        if found.is_err() or found.unwrap() is None:
+        result = await self.documents.read()
+        if result.is_err() or result.unwrap() is None:
             return None
-        return found.unwrap().number
+        return result.unwrap().number
 
     async def start(self) -> Replica:
         await self.control.start()
@@ -84,17 +86,17 @@
 
 
 async def until(condition: Callable[[], Any]) -> None:
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while True:
-            found = condition()
-            if asyncio.iscoroutine(found):
-                found = await found
-            if found:
+            result = condition()
+            if asyncio.iscoroutine(result):
+                result = await result
+            if result:
                 return
             await asyncio.sleep(0.05)
 
 
-def test_documents_by_any_replica_and_over_restarts_of_all(
+def test_any_replica_serves_documents_and_they_survive_a_full_restart(
     tmp_path: pathlib.Path,
 ) -> None:
     async def main() -> None:
@@ -104,45 +106,51 @@
             await Replica(tmp_path, address, seeds, True).start()
             for address in (*seeds, fourth)
         ]
-        await until(lambda: group[0].put(1))
-        # Every replica takes documents and reads the newest, the standby as well.
+        await until(lambda: group[0].declare_document(1))
+        # Every replica, including the standby, accepts documents and reads the newest
+        # one.
         for number, replica in enumerate(group, start=2):
-            await until(lambda: replica.put(number))
+            await until(lambda: replica.declare_document(number))
             for other in group:
                 await until(lambda: read_back(other, number))
         store = group[3].control.store
         await until(lambda: store.config.document is not None)
         for replica in group:
             await replica.control.close()
-        again = [await Replica(tmp_path, seeds[0], seeds, False).start()]
-        # Alone it knows what was committed, but can't be sure that it is the newest.
-        document = again[0].control.store.config.document
+        restarted = [await Replica(tmp_path, seeds[0], seeds, False).start()]
+        # Without a quorum it has the committed document, but can't confirm that it is
+        # the newest.
+        document = restarted[0].control.store.config.document
         assert document is not None and document.number == 5
-        assert await again[0].number() is None
-        again += [await Replica(tmp_path, a, seeds, False).start() for a in seeds[1:]]
-        await until(lambda: read_back(again[2], 5))
-        for replica in again:
+        assert await restarted[0].number() is None
+        restarted += [
+            await Replica(tmp_path, a, seeds, False).start() for a in seeds[1:]
+        ]
+        await until(lambda: read_back(restarted[2], 5))
+        for replica in restarted:
             await replica.control.close()
 
     asyncio.run(main())
 
 
 async def read_back(replica: Replica, number: int) -> bool:
-    found = await replica.number()
-    assert found is None or found >= number
-    return found == number
+    result = await replica.number()
+    assert result is None or result >= number
+    return result == number
 
 
-def test_a_lost_disk_is_replaced_and_nothing_goes_back(tmp_path: pathlib.Path) -> None:
+def test_a_replica_with_a_lost_disk_rejoins_without_losing_documents(
+    tmp_path: pathlib.Path,
+) -> None:
     async def main() -> None:
         seeds = tuple(free_address() for _ in range(3))
         group = {a: await Replica(tmp_path, a, seeds, True).start() for a in seeds}
-        await until(lambda: group[seeds[0]].put(1))
+        await until(lambda: group[seeds[0]].declare_document(1))
         for number, lost in enumerate(seeds, start=2):
             await group[lost].control.close()
             (tmp_path / lost.replace(":", "-")).rename(tmp_path / f"lost-{number}")
             group[lost] = await Replica(tmp_path, lost, seeds, False).start()
-            await until(lambda: group[lost].put(number))
+            await until(lambda: group[lost].declare_document(number))
             await until(lambda: is_member(group[lost]))
         assert await group[seeds[1]].number() == 4
         for replica in group.values():
@@ -152,24 +160,24 @@
 
 
 def is_member(replica: Replica) -> bool:
-    found = replica.control._replica
-    assert found is not None
-    status = found.status
+    result = replica.control._replica
+    assert result is not None
+    status = result.status
     identities = {member.identity for member in status.members}
     return status.identity in identities and status.caught_up
 
 
-def test_upstreams_are_known_again_after_a_restart(tmp_path: pathlib.Path) -> None:
+def test_upstream_records_are_restored_after_a_restart(tmp_path: pathlib.Path) -> None:
     path = tmp_path / "upstreams"
 
     async def before() -> None:
         directory = Directory()
         cache = UpstreamCache(path, directory)
         await cache.start()
-        news = Announcements(directory, 1.2)
+        announcements = Announcements(directory, 1.2)
         for name in ("u1", "u2"):
-            news.renew(record(name))
-        news.retire("u2")
+            announcements.renew(record(name))
+        announcements.retire("u2")
         await asyncio.sleep(0.3)
         await cache.close()
 
@@ -178,8 +186,8 @@
         cache = UpstreamCache(path, directory)
         await cache.start()
         now = asyncio.get_running_loop().time()
-        assert [one.name for one in directory.ready("desk", now)] == ["u1"]
-        # An announcement of the same incarnation is newer than the guess.
+        assert [upstream.name for upstream in directory.ready("desk", now)] == ["u1"]
+        # An announcement of the same incarnation replaces the restored record.
         Announcements(directory, 1.2).renew(record("u1", seq=2, ready=False))
         assert directory.ready("desk", now) == ()
         await cache.close()
@@ -187,10 +195,10 @@
     asyncio.run(before())
     asyncio.run(after())
     path.write_bytes(b"no record")
-    asyncio.run(missing(path))
+    asyncio.run(check_unreadable_file(path))
 
 
-async def missing(path: pathlib.Path) -> None:
+async def check_unreadable_file(path: pathlib.Path) -> None:
     directory = Directory()
     cache = UpstreamCache(path, directory)
     await cache.start()
@@ -198,7 +206,7 @@
     await cache.close()
 
 
-def test_a_request_stays_quarantined_when_all_processes_start_anew(
+def test_a_request_stays_quarantined_after_a_restart_of_all_processes(
     tmp_path: pathlib.Path,
 ) -> None:
     path = tmp_path / "ended"
--- a/tests/test_open_group.py
+++ b/tests/test_open_group.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_further_replica_follows_without_a_vote(seed):
+def test_an_additional_replica_follows_without_a_vote(seed):
     cluster = OpenCluster(4, seed)
     cluster.commit()
     assert cluster.voters() == SEEDS
@@ -35,64 +35,67 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_standby_takes_the_place_of_a_voter_that_is_gone(seed):
+def test_a_standby_replaces_a_crashed_voter(seed):
     cluster = OpenCluster(4, seed)
     cluster.commit()
-    gone = next(r for r in cluster.running() if r is not cluster.leader())
-    if gone.name == "c4":
-        gone = cluster.replicas[min(SEEDS - {cluster.leader().name})]
-    cluster.crash(gone)
+    crashed = next(r for r in cluster.running() if r is not cluster.leader())
+    if crashed.name == "c4":
+        crashed = cluster.replicas[min(SEEDS - {cluster.leader().name})]
+    cluster.crash(crashed)
     cluster.run_until(
-        lambda: cluster.voters() == {"c1", "c2", "c3", "c4"} - {gone.name}
+        lambda: cluster.voters() == {"c1", "c2", "c3", "c4"} - {crashed.name}
     )
-    # Now another one may go, and the first comes back as a standby.
+    # The group now tolerates the loss of another voter; the first one restarts as a
+    # standby.
     other = next(
-        r for r in cluster.running() if r is not cluster.leader() and r is not gone
+        r for r in cluster.running() if r is not cluster.leader() and r is not crashed
     )
     cluster.crash(other)
-    cluster.restart(gone)
+    cluster.restart(crashed)
     cluster.commit()
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_short_absence_costs_no_vote(seed):
+def test_a_voter_keeps_its_vote_over_a_short_absence(seed):
     cluster = OpenCluster(4, seed)
     cluster.commit()
     voters = cluster.voters()
-    away = cluster.replicas[min(voters - {cluster.leader().name})]
-    cluster.crash(away)
+    absent = cluster.replicas[min(voters - {cluster.leader().name})]
+    cluster.crash(absent)
     cluster.run(1.0)
-    cluster.restart(away)
+    cluster.restart(absent)
     cluster.commit()
     assert cluster.voters() == voters
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_wiped_and_an_outdated_voter_can_not_outvote_the_one_that_knows(seed):
+def test_a_wiped_and_an_outdated_voter_elect_no_leader_without_the_third(seed):
     cluster = OpenCluster(3, seed)
     cluster.commit()
-    behind, wiped, dark = (cluster.replicas[name] for name in ("c1", "c2", "c3"))
+    outdated, wiped, unavailable = (
+        cluster.replicas[name] for name in ("c1", "c2", "c3")
+    )
     cluster.cuts = {
         pair for other in ("c2", "c3") for pair in (("c1", other), (other, "c1"))
     }
-    cluster.run_until(lambda: cluster.leader() not in (None, behind))
+    cluster.run_until(lambda: cluster.leader() not in (None, outdated))
     cluster.propose(cluster.leader())
     index = cluster.leader().node.last_index
-    cluster.run_until(lambda: min(wiped.machine[0], dark.machine[0]) >= index)
-    cluster.crash(dark)
+    cluster.run_until(lambda: min(wiped.machine[0], unavailable.machine[0]) >= index)
+    cluster.crash(unavailable)
     cluster.wipe(wiped)
     cluster.restart(wiped)
     cluster.cuts.clear()
     for _ in range(int(20 / STEP_S)):
         cluster.run(STEP_S)
         assert cluster.leader() is None
-    cluster.restart(dark)
+    cluster.restart(unavailable)
     cluster.run_until(lambda: cluster.leader() is not None)
     cluster.run_until(lambda: all(r.machine[0] >= index for r in cluster.running()))
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_two_disks_lost_one_after_the_other(seed):
+def test_group_survives_two_disks_lost_one_after_the_other(seed):
     cluster = OpenCluster(4, seed)
     cluster.commit()
     for name in ("c1", "c2"):
@@ -103,10 +106,10 @@
     cluster.commit()
 
 
-def test_a_joining_replica_that_knows_no_leader_is_passed_on_to_it():
+def test_a_follower_redirects_a_joining_replica_to_the_leader():
     cluster = OpenCluster(4, seed=3)
     cluster.commit()
-    # The leader is reached by way of a follower alone.
+    # The new replica can reach the leader only through a follower.
     leader, new = cluster.leader(), cluster.replicas["c4"]
     cluster.crash(new)
     new.stored = type(new.stored)()
@@ -116,8 +119,11 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_random_faults_lose_nothing(seed):
-    """The cluster checks order, leases and leaders at each step."""
+def test_random_faults_lose_no_entry(seed):
+    """Random crashes, message loss and slow syncs must not break the log.
+
+    The cluster checks the order of entries, leases and leaders at each step.
+    """
     rng = random.Random(seed)
     cluster = OpenCluster(4, seed)
     cluster.commit()
@@ -133,7 +139,7 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_what_was_known_to_be_committed_is_applied_before_an_election(seed):
+def test_noted_commits_are_applied_before_an_election(seed):
     cluster = OpenCluster(3, seed)
     index = cluster.commit()
     cluster.run(1.0)
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -37,13 +37,13 @@
 
 def test_change_is_in_force_and_audited():
     async def steps(control, operator):
-        made = await operator.post("/v1/profiles", json=BODY)
-        assert (made.status_code, made.json()["revision"]) == (200, 1)
+        reply = await operator.post("/v1/profiles", json=BODY)
+        assert (reply.status_code, reply.json()["revision"]) == (200, 1)
         assert control.store.config.profiles == {"summary": profile()}
         listed = (await operator.get("/v1/profiles")).json()
         assert listed["profiles"][0]["pool"] == "engines"
-        one = await operator.get("/v1/profiles/summary")
-        assert one.json()["model"] == "m1"
+        profile_reply = await operator.get("/v1/profiles/summary")
+        assert profile_reply.json()["model"] == "m1"
         (entry,) = (await operator.get("/v1/audit")).json()["audit"]
         assert (entry["operator"], entry["outcome"]) == ("ana", "accepted")
 
@@ -66,11 +66,11 @@
         ("/v1/orders", ORDER | {"model": ""}, 422, "model"),
     ],
 )
-def test_refusal_names_what_to_correct(path, body, status, named):
+def test_refusal_names_what_to_correct(path, body, status, expected_text):
     async def steps(control, operator):
         refused = await operator.post(path, json=body)
         assert refused.status_code == status, refused.text
-        assert named in refused.text
+        assert expected_text in refused.text
         assert control.store.revision == 0
         (entry,) = (await operator.get("/v1/audit")).json()["audit"]
         code = refused.json()["code"]
@@ -95,14 +95,14 @@
 
 def test_dry_run_commits_nothing():
     async def steps(control, operator):
-        tried = await operator.post("/v1/profiles", json=BODY | {"dry_run": True})
-        assert tried.json() == {"revision": 1, "dry_run": True}
+        reply = await operator.post("/v1/profiles", json=BODY | {"dry_run": True})
+        assert reply.json() == {"revision": 1, "dry_run": True}
         assert control.store.revision == 0
 
     run(steps)
 
 
-def test_upstreams_come_from_the_directory_with_their_marks():
+def test_upstreams_are_listed_with_their_leaving_marks():
     async def steps(control, operator):
         now = asyncio.get_running_loop().time()
         record = UpstreamRecord("e2", "i", 1, "127.0.0.1:1", "z", "r", "p", "service")
@@ -140,7 +140,7 @@
     run(steps)
 
 
-def test_a_resent_order_is_answered_also_when_its_upstream_has_gone():
+def test_a_resent_order_is_answered_after_its_upstream_was_removed():
     async def steps(control, operator):
         now = asyncio.get_running_loop().time()
         control.directory.offer(E1, now)
@@ -153,7 +153,7 @@
     run(steps)
 
 
-def test_settings_bound_the_state_through_the_log():
+def test_limits_from_the_settings_are_committed():
     async def steps(control, _operator):
         async with asyncio.timeout(10):
             while control.state.limits.audit_entries != 7:
@@ -162,7 +162,7 @@
     run(steps, audit_entries=7)
 
 
-def test_entries_and_sidecars_propose_but_change_nothing_declared():
+def test_entries_and_sidecars_can_claim_but_not_change_declarations():
     async def steps(control, _operator):
         channel = RpcChannel(control.addresses["rpc"], FLEET_TOKEN)
         first, other, ended, again, refused = [
@@ -187,8 +187,8 @@
 def test_many_claims_share_an_entry():
     async def steps(control, _operator):
         before = control.state.index
-        asked = [control._commit.ask(claim(f"k{n}")) for n in range(200)]
-        replies = [result.unwrap() for result in await asyncio.gather(*asked)]
+        submissions = [control._commit.submit(claim(f"k{n}")) for n in range(200)]
+        replies = [result.unwrap() for result in await asyncio.gather(*submissions)]
         assert all(reply.granted for reply in replies)
         assert [reply.record.key for reply in replies] == [f"k{n}" for n in range(200)]
         assert control.state.index - before < 20
@@ -200,7 +200,7 @@
     async def steps(control, operator):
         await operator.post("/v1/profiles", json=BODY)
         await operator.post("/v1/profiles", json=BODY | {"change_id": "c2"})
-        (await control._commit.ask(claim())).unwrap()
+        (await control._commit.submit(claim())).unwrap()
         for line in (
             'gooseberrydale_changes_total{outcome="accepted"} 1.0',
             'gooseberrydale_changes_total{outcome="revision_conflict"} 1.0',
@@ -215,7 +215,7 @@
     run(steps)
 
 
-def test_given_declarations_are_in_force_from_the_start():
+def test_initial_declarations_are_in_force_from_the_start():
     async def steps(control, operator):
         assert control.store.revision == 4
         body = BODY | {"base": 4}
@@ -224,17 +224,17 @@
     run(steps, declarations=Config(revision=4))
 
 
-def test_status_names_the_process_that_is_behind():
+def test_acknowledgements_list_the_process_that_is_behind():
     standing = Standing("entry", "entry-1", "i2", "z", 3, heard_at=10.0)
-    book = Acknowledgements()
-    book.heard(standing)
-    book.heard(Standing("entry", "entry-1", "i1", "z", 9, heard_at=11.0))
-    assert book.behind(3, now=12.0) == []
-    assert book.behind(4, now=12.0) == [standing]
-    assert book.behind(4, now=400.0) == []
+    acknowledgements = Acknowledgements()
+    acknowledgements.heard(standing)
+    acknowledgements.heard(Standing("entry", "entry-1", "i1", "z", 9, heard_at=11.0))
+    assert acknowledgements.behind(3, now=12.0) == []
+    assert acknowledgements.behind(4, now=12.0) == [standing]
+    assert acknowledgements.behind(4, now=400.0) == []
 
 
-def test_change_reaches_processes_and_status_says_so(tmp_path):
+def test_change_reaches_processes_and_status_shows_it(tmp_path):
     async def steps(control, operator):
         store = ConfigStore()
         mesh = joining_mesh(tmp_path, control, store)
@@ -254,7 +254,7 @@
 
 
 async def status_with_a_process(operator: httpx2.AsyncClient) -> Any:
-    """Ask until a process has told that the revision is in force there."""
+    """Poll until a process has reported that the revision is in force there."""
     while True:
         status = (await operator.get("/v1/status")).json()
         if status["processes"] and status["in_force_everywhere"]:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""The sending side towards another replica, over real sockets."""
+"""The connection that sends messages to another replica, over real sockets."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 TOKEN = "token-of-this-test"
 BROKEN_SESSIONS = 3
 MESSAGES = 40
-PATIENCE_S = 20.0
-SENDER = "_consume_request_iterator"
+TIMEOUT_S = 20.0
+SENDER_TASK = "_consume_request_iterator"
 
 
 def envelope(number: int) -> Envelope:
@@ -23,10 +23,16 @@
 
 
 @pytest.mark.parametrize("silent", [False, True], ids=["ended", "silent"])
-def test_a_lost_session_takes_no_messages_from_the_next(silent):
-    async def scenario():
+def test_a_replaced_session_takes_no_messages_from_the_next_one(silent):
+    """Messages must not be lost to a session that was replaced.
+
+    The sending task of a session that the peer ended, or whose peer stopped answering,
+    must not take messages from the queue that belong to the next session.
+    """
+
+    async def main():
         sessions = 0
-        got: list[str] = []
+        received: list[str] = []
         opened = asyncio.Event()
 
         async def receive(batches):
@@ -37,7 +43,7 @@
                     if not silent:
                         return
             async for batch in batches:
-                got.extend(e.source.identity for e in peer_frames.unpack(batch))
+                received.extend(e.source.identity for e in peer_frames.unpack(batch))
                 opened.set()
                 if batch.want_ack:
                     yield peer_frames.PeerAck()
@@ -47,19 +53,19 @@
         await server.start()
         link = PeerLink(f"127.0.0.1:{server.port}", TOKEN)
         link.start()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not opened.is_set():
                 link.send(envelope(-1))
                 await asyncio.sleep(0.02)
             for number in range(MESSAGES):
                 link.send(envelope(number))
                 await asyncio.sleep(0.01)
-            while str(MESSAGES - 1) not in got:
+            while str(MESSAGES - 1) not in received:
                 await asyncio.sleep(0.01)
-        senders = [t for t in asyncio.all_tasks() if SENDER in repr(t)]
+        senders = [t for t in asyncio.all_tasks() if SENDER_TASK in repr(t)]
         assert len(senders) == 1, senders
         await link.close()
         await server.close()
-        return [identity for identity in got if identity != "-1"]
+        return [identity for identity in received if identity != "-1"]
 
-    assert asyncio.run(scenario()) == [str(n) for n in range(MESSAGES)]
+    assert asyncio.run(main()) == [str(n) for n in range(MESSAGES)]
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -21,12 +21,12 @@
 
 TOKEN = "fleet"
 NAMES = ("c1", "c2", "c3")
-PATIENCE_S = 90.0
-HANG_BOUND_S = 2 * PATIENCE_S
+TIMEOUT_S = 90.0
+HANG_BOUND_S = 2 * TIMEOUT_S
 
 
 class CountingMachine:
-    """Answers each command with its place; one sent again keeps its place."""
+    """Answers each command with its position; a resent command keeps its position."""
 
     def __init__(self):
         self.commands = []
@@ -43,18 +43,19 @@
         self.commands = data.split(b"\n")
 
 
-class FullFiles(OsFiles):
-    """Real files on a disk that may fill up or hang."""
+class FaultyFiles(OsFiles):
+    """Real files on a disk that can be made to fill up or hang."""
 
     def __init__(self):
         super().__init__()
         self.full = False
-        self.answers = threading.Event()
-        self.answers.set()
+        self.sync_allowed = threading.Event()
+        self.sync_allowed.set()
 
     def sync(self, path):
-        # Bounded, as a thread that waits for good would keep the whole run from ending.
-        if not self.answers.wait(HANG_BOUND_S):
+        # Bounded, because a thread that waits forever would keep the test run from
+        # ending.
+        if not self.sync_allowed.wait(HANG_BOUND_S):
             raise OSError(errno.EIO, "the disk hung to the end of the test")
         super().sync(path)
 
@@ -64,13 +65,13 @@
         super().append(path, data)
 
 
-class Started:
-    """A replica with its listener and machine."""
+class RunningReplica:
+    """A running replica with its listener and state machine."""
 
     def __init__(self, folder, name, listen, addresses, start):
         self.cfg = ControlCfg(folder / name, replicas=addresses, snapshot_entries=20)
         self.machine = CountingMachine()
-        self.files = FullFiles()
+        self.files = FaultyFiles()
         self.server = RpcServer(listen, TOKEN)
         self.replica = Replica(
             self.cfg,
@@ -78,7 +79,7 @@
             self.machine,
             self.server,
             name=name,
-            # Each start draws anew, so that an emptied disk gets another identity.
+            # A new seed for each start gives an emptied disk another identity.
             rng=random.Random(f"{name}/{start}"),
             files=self.files,
         )
@@ -93,43 +94,47 @@
         await self.server.close()
 
 
-class Group:
-    """Replicas by name; whatever is still started is closed at the end."""
+class ReplicaGroup:
+    """Replicas by name; those still running are closed at the end of the test."""
 
     def __init__(self, folder, names=NAMES):
         self.folder = folder
         self.listen = {name: free_address() for name in names}
         self.addresses = dict(self.listen)
-        self.started = {}
+        self.running = {}
         self.starts = 0
 
     async def start(self, *names):
         for name in names:
             listen = self.listen[name]
             self.starts += 1
-            replica = Started(self.folder, name, listen, self.addresses, self.starts)
-            self.started[name] = await replica.start()
+            replica = RunningReplica(
+                self.folder, name, listen, self.addresses, self.starts
+            )
+            self.running[name] = await replica.start()
 
     async def stop(self, *names):
         for name in names:
-            await self.started.pop(name).close()
+            await self.running.pop(name).close()
 
     def leader(self):
-        found = [s for s in self.started.values() if s.replica.is_leader]
-        return found[0] if found else None
+        leaders = [
+            replica for replica in self.running.values() if replica.replica.is_leader
+        ]
+        return leaders[0] if leaders else None
 
     def repaired(self):
         leader = self.leader()
         if leader is None:
             return False
         repairs = leader.replica.status.repairs
-        identities = {s.replica.status.identity for s in self.started.values()}
+        identities = {s.replica.status.identity for s in self.running.values()}
         done = {repair.identity for repair in repairs if repair.state == "done"}
         return done == identities and len(repairs) == len(done)
 
     async def commit(self, command):
-        """Propose to whoever leads until it is committed."""
-        async with asyncio.timeout(PATIENCE_S):
+        """Propose to the current leader until the command is committed."""
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
                 leader = self.leader()
                 if leader is not None:
@@ -140,20 +145,20 @@
 
 
 async def until(condition):
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.05)
 
 
-async def nothing(*_):
-    """Stands for no step."""
+async def no_step(*_):
+    """Do nothing; the default of the optional steps of ``run``."""
 
 
-def run(folder, scenario, before=nothing, after=nothing):
-    """Form a group of three and run the scenario on it."""
+def run(folder, scenario, before=no_step, after=no_step):
+    """Start a group of three and run the scenario on it."""
 
-    async def whole():
-        group = Group(folder)
+    async def main():
+        group = ReplicaGroup(folder)
         await before(group)
         init_folder(folder / "c1", "c1")
         try:
@@ -161,20 +166,20 @@
             await until(group.repaired)
             await scenario(group)
         finally:
-            await group.stop(*group.started)
+            await group.stop(*group.running)
             await after()
 
-    asyncio.run(whole())
+    asyncio.run(main())
 
 
-def test_commands_reach_every_replica_and_restart(tmp_path):
+def test_commands_reach_every_replica_and_survive_a_restart(tmp_path):
     async def scenario(group):
         for number in range(50):
             assert await group.commit(b"%d" % number) == b"%d" % number
         await group.stop(*NAMES)
         await group.start(*NAMES)
         assert await group.commit(b"50") == b"50"
-        machines = [started.machine for started in group.started.values()]
+        machines = [replica.machine for replica in group.running.values()]
         await until(lambda: all(len(m.commands) == 51 for m in machines))
 
     run(tmp_path, scenario)
@@ -183,7 +188,7 @@
 def test_follower_names_the_leader(tmp_path):
     async def scenario(group):
         leader = group.leader()
-        follower = next(s for s in group.started.values() if s is not leader)
+        follower = next(s for s in group.running.values() if s is not leader)
         problem = (await follower.replica.propose(b"x")).unwrap_err()
         assert problem.code == "not_leader" and problem.not_run is True
         address = group.addresses[leader.replica.status.name]
@@ -193,29 +198,32 @@
     run(tmp_path, scenario)
 
 
-def test_leader_alone_stops_answering(tmp_path):
+def test_leader_without_followers_stops_answering(tmp_path):
     async def scenario(group):
         leader = group.leader()
         others = [n for n in NAMES if n != leader.replica.status.name]
         await group.stop(*others)
         problem = (await leader.replica.propose(b"x", 10.0)).unwrap_err()
-        refusals = {"no_quorum": None, "not_leader": True}  # by when the lease ended
+        refusals = {
+            "no_quorum": None,
+            "not_leader": True,
+        }  # depends on when the lease ended
         assert problem.not_run is refusals[problem.code]
         await until(lambda: not leader.replica.may_lead())
 
     run(tmp_path, scenario)
 
 
-def test_two_lost_disks_one_after_the_other(tmp_path):
+def test_group_survives_two_disks_lost_one_after_the_other(tmp_path):
     async def scenario(group):
         for number in range(30):
             await group.commit(b"%d" % number)
         for name in ("c1", "c2"):
-            lost = group.started[name].replica.status.identity
+            lost = group.running[name].replica.status.identity
             await group.stop(name)
             (tmp_path / name).rename(tmp_path / f"{name}.lost")
             await group.start(name)
-            assert group.started[name].replica.status.identity != lost
+            assert group.running[name].replica.status.identity != lost
             await until(group.repaired)
         await group.stop("c3")
         assert await group.commit(b"30") == b"30"
@@ -223,25 +231,25 @@
     run(tmp_path, scenario)
 
 
-def test_nothing_is_answered_before_two_disks_have_it(tmp_path):
+def test_no_command_is_answered_before_two_disks_stored_it(tmp_path):
     async def scenario(group):
         leader = group.leader()
-        followers = [s for s in group.started.values() if s is not leader]
+        followers = [s for s in group.running.values() if s is not leader]
         for follower in followers:
-            follower.files.answers.clear()
+            follower.files.sync_allowed.clear()
         try:
             answer = await leader.replica.propose(b"0", 0.7)
             assert answer.unwrap_err().code == "no_quorum"
             assert not leader.machine.commands
         finally:
             for follower in followers:
-                follower.files.answers.set()
+                follower.files.sync_allowed.set()
         await group.commit(b"1")
 
     run(tmp_path, scenario)
 
 
-def test_full_disk_of_the_leader_is_told_and_the_others_commit(tmp_path):
+def test_full_disk_of_the_leader_is_reported_and_the_others_commit(tmp_path):
     async def scenario(group):
         leader = group.leader()
         leader.files.full = True
@@ -252,7 +260,7 @@
         leader.files.full = False
         await until(lambda: leader.replica.status.problem is None)
         assert await group.commit(b"2") == b"2"
-        # What the full disk could not take is there after a restart.
+        # Commands that the full disk could not store are present after a restart.
         await group.stop(*NAMES)
         await group.start(*NAMES)
         await until(lambda: leader_has(group, [b"0", b"1", b"2"]))
@@ -262,15 +270,17 @@
 
 def leader_has(group, commands):
     return all(
-        [c for c in commands if c in one.machine.commands] == commands
-        for one in group.started.values()
+        [c for c in commands if c in replica.machine.commands] == commands
+        for replica in group.running.values()
     )
 
 
 def test_full_disk_of_the_leader_refuses_if_the_others_make_no_quorum(tmp_path):
     async def scenario(group):
         leader = group.leader()
-        others = [name for name, one in group.started.items() if one is not leader]
+        others = [
+            name for name, replica in group.running.items() if replica is not leader
+        ]
         leader.files.full = True
         assert (await leader.replica.propose(b"0", 5.0)).unwrap() == b"0"
         await until(lambda: leader.replica.status.problem is not None)
@@ -285,10 +295,10 @@
     run(tmp_path, scenario)
 
 
-def test_majority_lost_needs_the_operator(tmp_path):
+def test_lost_majority_needs_a_recovery_by_the_operator(tmp_path):
     async def scenario(group):
         await group.commit(b"0")
-        await until(lambda: all(s.machine.commands for s in group.started.values()))
+        await until(lambda: all(s.machine.commands for s in group.running.values()))
         await group.stop(*NAMES)
         for name in ("c1", "c2"):
             (tmp_path / name).rename(tmp_path / f"{name}.lost")
@@ -328,7 +338,7 @@
     run(tmp_path, scenario, put_relays_between, remove_relays)
 
 
-def test_stream_that_is_not_answered_is_replaced():
+def test_unacknowledged_stream_is_replaced():
     arrived = asyncio.Queue()
     streams = []
 
@@ -339,20 +349,20 @@
                 arrived.put_nowait(batch)
                 yield PeerAck()
 
-    async def whole():
+    async def main():
         server = RpcServer("127.0.0.1:0", TOKEN)
         server.streaming(REPLICATE, serve)
         await server.start()
         link = PeerLink(f"127.0.0.1:{server.port}", TOKEN)
         link.start()
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while arrived.empty():
                 link.send(Envelope("x", Member("c1", "a"), "b", JoinReq()))
                 await asyncio.sleep(0.1)
         await link.close()
         await server.close()
 
-    asyncio.run(whole())
+    asyncio.run(main())
 
 
 def test_init_never_replaces_a_log(tmp_path):
