--- a/tests/test_signpost.py
+++ b/tests/test_signpost.py
@@ -1,4 +1,4 @@
-"""Control on an instance without a disk, over real sockets."""
+"""The redirecting server of an instance without a disk, over real sockets."""
 
 from __future__ import annotations
 
@@ -6,48 +6,49 @@
 from pathlib import Path
 
 from gooseberrydale.process.cfg import Cfg, ControlCfg, FleetCfg, NodeCfg
-from gooseberrydale.process.control.signpost import LOOK_S, Signpost
+from gooseberrydale.process.control.signpost import CHECK_VALIDITY_S, Signpost
 from tests.builders_gateway import Got, free_port, read_answer
 from tests.sidecar_bench import run
 
 
-async def ask(signpost: Signpost, target: str) -> Got:
+async def post(signpost: Signpost, target: str) -> Got:
+    """Send a POST request for ``target`` to ``signpost``; return the answer."""
     host, _, port = signpost.addresses["http"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     lines = f"POST {target} HTTP/1.1", "Host: x", "Content-Length: 0"
     writer.write("\r\n".join((*lines, "Connection: close", "", "")).encode())
-    got = await read_answer(reader)
+    reply = await read_answer(reader)
     writer.close()
-    return got
+    return reply
 
 
-def test_callers_are_sent_to_a_replica_that_answers() -> None:
+def test_requests_are_redirected_to_a_replica_that_answers() -> None:
     async def main() -> None:
-        gone = f"127.0.0.1:{free_port()}"
+        unreachable = f"127.0.0.1:{free_port()}"
         server = await asyncio.start_server(lambda r, w: w.close(), "127.0.0.1", 0)
-        there = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        listening = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         own = f"127.0.0.1:{free_port()}"
         cfg = Cfg(
             node=NodeCfg("c9"),
-            fleet=FleetCfg(controls=(own, gone, there), trust_network=True),
+            fleet=FleetCfg(controls=(own, unreachable, listening), trust_network=True),
             control=ControlCfg(data_dir=Path(), http=own, signpost=True),
         )
         signpost = Signpost(cfg)
         await signpost.start()
         await asyncio.sleep(0.1)
         for _ in range(3):
-            got = await ask(signpost, "/some/call/i-1")
-            assert got.status == 307
-            assert got.headers["location"] == f"http://{there}/some/call/i-1"
+            reply = await post(signpost, "/some/call/i-1")
+            assert reply.status == 307
+            assert reply.headers["location"] == f"http://{listening}/some/call/i-1"
         server.close()
-        await asyncio.sleep(2 * LOOK_S)
-        assert (await ask(signpost, "/some/call")).status == 503
+        await asyncio.sleep(2 * CHECK_VALIDITY_S)
+        assert (await post(signpost, "/some/call")).status == 503
         await signpost.close()
 
     run(main())
 
 
-def test_replicas_are_left_alone_while_nobody_calls() -> None:
+def test_replicas_are_checked_only_when_requests_arrive() -> None:
     async def main() -> None:
         accepted = 0
 
@@ -57,18 +58,18 @@
             w.close()
 
         server = await asyncio.start_server(accept, "127.0.0.1", 0)
-        there = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
+        listening = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         own = f"127.0.0.1:{free_port()}"
         cfg = Cfg(
             node=NodeCfg("c9"),
-            fleet=FleetCfg(controls=(own, there), trust_network=True),
+            fleet=FleetCfg(controls=(own, listening), trust_network=True),
             control=ControlCfg(data_dir=Path(), http=own, signpost=True),
         )
         signpost = Signpost(cfg)
         await signpost.start()
-        await asyncio.sleep(3 * LOOK_S)
+        await asyncio.sleep(3 * CHECK_VALIDITY_S)
         assert accepted == 0
-        await asyncio.gather(*(ask(signpost, "/some/call") for _ in range(20)))
+        await asyncio.gather(*(post(signpost, "/some/call") for _ in range(20)))
         assert accepted == 1
         await signpost.close()
         server.close()
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -1,4 +1,4 @@
-"""Who is brought to new weights when, and how orders go astray."""
+"""Which engines change weights when, and how unanswered orders are handled."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from gooseberrydale.process.control import weights_rollout
 from gooseberrydale.process.control.announcements import Announcements
 from gooseberrydale.process.control.weights_rollout import (
-    DRAIN_S,
-    FEW_RUNS,
-    MARK_SETTLE_S,
+    MARK_PROPAGATION_S,
+    MAX_DRAIN_S,
+    MAX_KEPT_RUNS,
     WeightsRollout,
 )
 from gooseberrydale.version.declarations import Config
@@ -39,24 +39,24 @@
     "as many as may change at once": (engines(1, 1, 1, 1, 1), (), (), ["e0", "e1"]),
     "a third of many": (engines(*[1] * 9), (), (), ["e0", "e1", "e2"]),
     "the oldest first": (engines(2, 1, 3, 1, 2), (), (), ["e1", "e3"]),
-    "only in free places": (engines(1, 1, 1, 1, 1), ("e0",), (), ["e1"]),
-    "none while all places are taken": (engines(1, 1, 1), ("e0", "e1"), (), []),
-    "fewer while some are silent": (engines(*[1] * 9), (), ("e0", "e1"), ["e2"]),
-    "one in any case": (engines(1, 1, 1, 1), (), ("e0", "e1", "e2"), ["e3"]),
+    "only in free slots": (engines(1, 1, 1, 1, 1), ("e0",), (), ["e1"]),
+    "none while all slots are taken": (engines(1, 1, 1), ("e0", "e1"), (), []),
+    "fewer while some don't answer": (engines(*[1] * 9), (), ("e0", "e1"), ["e2"]),
+    "at least one": (engines(1, 1, 1, 1), (), ("e0", "e1", "e2"), ["e3"]),
     "none that leaves": (engines(1, 1, leaving=True), (), (), []),
     "none that is up to date": (engines(4, 4, 4), (), (), []),
 }
 
 
 @pytest.mark.parametrize("case", CASES)
-def test_which_engines_are_due(case: str) -> None:
-    members, changing, silent, wanted = CASES[case]
-    assert due(members, {"m": 4}, changing, silent) == wanted
+def test_which_engines_change_next(case: str) -> None:
+    members, changing, silent, expected = CASES[case]
+    assert due(members, {"m": 4}, changing, silent) == expected
     assert due(members, {"other": 9}, changing, silent) == []
 
 
-PACES = [
-    # engines, behind, seconds left -> away at once
+CONCURRENCY_CASES = [
+    # engines, outdated engines, seconds left -> concurrent changes
     (5, 5, 6.0, 2),
     (9, 9, 6.0, 3),
     (28, 28, 7.5, 10),
@@ -68,52 +68,53 @@
 ]
 
 
-@pytest.mark.parametrize("pace", PACES)
+@pytest.mark.parametrize("pace", CONCURRENCY_CASES)
 def test_how_many_change_at_once_by_the_time_left(
-    pace: tuple[int, int, float, int],
+    case: tuple[int, int, float, int],
 ) -> None:
-    count, behind, left_s, expected = pace
+    count, behind, left_s, expected = case
     assert at_once(count, behind, left_s) == expected
 
 
 def test_with_a_quarter_dead_all_others_change_in_time() -> None:
-    """Each round takes as long as measured; the dead ones hold nobody up."""
+    """Dead engines must not delay the others; a change takes 1.8 s here."""
     members, now = engines(*[1] * 28), 0.0
     dead = {engine.name for engine in members[:7]}
     ends: dict[str, float] = {}
-    most = 0
-    while any(one.version < 4 for one in members if one.name not in dead):
+    max_changing = 0
+    while any(member.version < 4 for member in members if member.name not in dead):
         begun = due(members, {"m": 4}, ends, dead, {"m": 7.5 - now})
         ends |= {name: now + 1.8 for name in begun}
-        most = max(most, len(ends))
+        max_changing = max(max_changing, len(ends))
         now += 0.1
         done = {name for name, at in ends.items() if at <= now}
         members = [replace(e, version=4) if e.name in done else e for e in members]
         ends = {name: at for name, at in ends.items() if name not in done}
-    assert now < 8.5 and most <= 7
+    assert now < 8.5 and max_changing <= 7
 
 
 @dataclass
 class FakeEngine:
-    """An engine that carries orders out; ``astray`` orders are kept for later."""
+    """An engine that executes orders; the next ``unanswered`` orders are delayed
+    instead."""
 
     version: int = 1
     accepted: int = 0
     busy_until: float = -1.0
     dead: bool = False
     running: int = 0
-    astray: int = 0
-    kept: list[WeightsOrder] = field(default_factory=list)
+    unanswered: int = 0
+    delayed: list[WeightsOrder] = field(default_factory=list)
     orders: list[WeightsOrder] = field(default_factory=list)
 
 
 class FakeEngines:
-    """Engines by name, with a count of those that change at once."""
+    """Engines by name; counts those that change concurrently."""
 
     def __init__(self, directory: Directory, *names: str) -> None:
         self.directory = directory
         self.by_name = {name: FakeEngine() for name in names}
-        self.most_at_once = 0
+        self.max_concurrent = 0
         self.unmarked = 0
 
     async def report(self, engine: UpstreamRecord) -> EngineReport | None:
@@ -127,14 +128,14 @@
     async def order(self, engine: UpstreamRecord, order: WeightsOrder) -> OrderAnswer:
         found = self.by_name[engine.name]
         found.orders.append(order)
-        if found.dead or found.astray > 0:
-            found.astray -= 1
-            found.kept.append(order)
+        if found.dead or found.unanswered > 0:
+            found.unanswered -= 1
+            found.delayed.append(order)
             await asyncio.sleep(0.4)
             return OrderAnswer.UNKNOWN
-        return self.carry_out(engine.name, order)
+        return self.execute(engine.name, order)
 
-    def carry_out(self, name: str, order: WeightsOrder) -> OrderAnswer:
+    def execute(self, name: str, order: WeightsOrder) -> OrderAnswer:
         found, now = self.by_name[name], asyncio.get_running_loop().time()
         if self.busy(found) or order.after != found.accepted:
             return OrderAnswer.CONFLICT
@@ -143,8 +144,8 @@
         found.accepted += 1
         found.busy_until = now + LOAD_S
         found.version = order.version
-        at_once = sum(self.busy(one) for one in self.by_name.values())
-        self.most_at_once = max(self.most_at_once, at_once)
+        changing = sum(self.busy(other) for other in self.by_name.values())
+        self.max_concurrent = max(self.max_concurrent, changing)
         return OrderAnswer.ACCEPTED
 
     def busy(self, engine: FakeEngine) -> bool:
@@ -152,11 +153,11 @@
 
     @property
     def versions(self) -> set[int]:
-        return {one.version for one in self.by_name.values()}
+        return {engine.version for engine in self.by_name.values()}
 
 
 class FakeReplica:
-    """Leads or not."""
+    """A replica whose leadership the test sets."""
 
     def __init__(self) -> None:
         self.leads = True
@@ -171,7 +172,7 @@
 
 
 class FakeMachine:
-    """The state with the named weights."""
+    """A state machine whose state holds the named weights."""
 
     def __init__(self) -> None:
         self.config = Config(weights={"m": 2})
@@ -181,7 +182,7 @@
         return self
 
 
-class Bench:
+class RolloutHarness:
     """A rollout over fake engines on a paused clock."""
 
     def __init__(self, *names: str, pause_s: float = 0.0, bound_s: float = 8.0) -> None:
@@ -210,8 +211,8 @@
             known = record(name, model="m", weights_version=version, lease_s=60.0)
             self.directory.offer(known, now)
 
-    async def until_all(self, version: int, bound_s: float) -> float:
-        """Seconds until all live engines serve ``version``."""
+    async def wait_until_all(self, version: int, bound_s: float) -> float:
+        """Wait until all engines serve ``version``; return the seconds it took."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         while self.engines.versions != {version}:
@@ -225,222 +226,236 @@
 
 def test_all_engines_change_a_few_at_a_time_while_marked() -> None:
     async def main() -> None:
-        bench = Bench(*NAMES)
-        await bench.start()
-        took_s = await bench.until_all(2, 8.0)
+        harness = RolloutHarness(*NAMES)
+        await harness.start()
+        took_s = await harness.wait_until_all(2, 8.0)
         assert took_s < 3.0
-        assert (bench.engines.most_at_once, bench.engines.unmarked) == (2, 0)
-        orders = [o for e in bench.engines.by_name.values() for o in e.orders]
+        assert (harness.engines.max_concurrent, harness.engines.unmarked) == (2, 0)
+        orders = [o for e in harness.engines.by_name.values() for o in e.orders]
         assert {(o.holder, o.number, o.version) for o in orders} == {("node", 5, 2)}
         assert len(orders) == len(NAMES)
         await asyncio.sleep(1.0)
-        # The marks are over, and all know the new weights.
+        # The marks have ended, and the directory has the new weights.
         now = asyncio.get_running_loop().time()
         for name in NAMES:
-            found = bench.directory.get(name, now)
-            marked = bench.directory.get(mark_name(name), now)
+            found = harness.directory.get(name, now)
+            marked = harness.directory.get(mark_name(name), now)
             assert found is not None and found.weights_version == "2"
             assert marked is None or not marked.ready
-        await bench.rollout.close()
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_a_version_that_was_overtaken_is_skipped() -> None:
+def test_a_superseded_version_is_skipped() -> None:
     async def main() -> None:
-        bench = Bench(*NAMES)
-        await bench.start()
-        await asyncio.sleep(MARK_SETTLE_S + 0.25)
-        bench.machine.config = Config(weights={"m": 3})
-        await bench.until_all(3, 8.0)
-        late = [e for e in bench.engines.by_name.values() if len(e.orders) == 1]
-        assert len(late) == 3
-        await bench.rollout.close()
+        harness = RolloutHarness(*NAMES)
+        await harness.start()
+        await asyncio.sleep(MARK_PROPAGATION_S + 0.25)
+        harness.machine.config = Config(weights={"m": 3})
+        await harness.wait_until_all(3, 8.0)
+        ordered_once = [
+            e for e in harness.engines.by_name.values() if len(e.orders) == 1
+        ]
+        assert len(ordered_once) == 3
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_a_dead_engine_does_not_hold_the_others_up_and_gets_its_turn() -> None:
+def test_a_dead_engine_does_not_delay_the_others_and_changes_after_recovery() -> None:
     async def main() -> None:
-        bench = Bench(*NAMES)
-        dead = [bench.engines.by_name[name] for name in ("e0", "e1")]
+        harness = RolloutHarness(*NAMES)
+        dead = [harness.engines.by_name[name] for name in ("e0", "e1")]
         for engine in dead:
             engine.dead = True
-        await bench.start()
+        await harness.start()
         await asyncio.sleep(5.0)
-        assert [e.version for e in bench.engines.by_name.values()] == [1, 1, 2, 2, 2]
+        assert [e.version for e in harness.engines.by_name.values()] == [1, 1, 2, 2, 2]
         for engine in dead:
             engine.dead = False
-        assert await bench.until_all(2, 8.0) < 3.0
-        await bench.rollout.close()
+        assert await harness.wait_until_all(2, 8.0) < 3.0
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_dead_engines_are_asked_beside_the_changes_of_the_others() -> None:
-    """Each question to a dead engine takes as long as a change of a live one."""
+def test_polls_of_dead_engines_do_not_delay_other_changes() -> None:
+    """Polls of dead engines must not delay the changes of live ones.
+
+    Each poll of a dead engine takes as long as a change of a live one.
+    """
 
     async def main() -> None:
         names = tuple(f"e{number:02}" for number in range(16))
-        bench = Bench(*names)
+        harness = RolloutHarness(*names)
         dead, live = names[:5], names[5:]
         for name in dead:
-            bench.engines.by_name[name].dead = True
-        answer = bench.engines.report
+            harness.engines.by_name[name].dead = True
+        answer = harness.engines.report
 
         async def slow_if_dead(engine: UpstreamRecord) -> EngineReport | None:
             if engine.name in dead:
                 await asyncio.sleep(0.5)
             return await answer(engine)
 
-        bench.engines.report = slow_if_dead  # type: ignore[method-assign]
-        await bench.start()
+        harness.engines.report = slow_if_dead  # type: ignore[method-assign]
+        await harness.start()
         await asyncio.sleep(4.0)
-        assert {bench.engines.by_name[name].version for name in live} == {2}
-        await bench.rollout.close()
+        assert {harness.engines.by_name[name].version for name in live} == {2}
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_orders_without_an_answer_are_given_again_and_void_when_late() -> None:
+def test_unanswered_orders_are_resent_and_void_when_executed_late() -> None:
     async def main() -> None:
-        bench = Bench(*NAMES)
-        for engine in bench.engines.by_name.values():
-            engine.astray = 1
-        await bench.start()
-        assert await bench.until_all(2, 8.0) < 5.0
-        bench.machine.config = Config(weights={"m": 3})
-        await bench.until_all(3, 8.0)
+        harness = RolloutHarness(*NAMES)
+        for engine in harness.engines.by_name.values():
+            engine.unanswered = 1
+        await harness.start()
+        assert await harness.wait_until_all(2, 8.0) < 5.0
+        harness.machine.config = Config(weights={"m": 3})
+        await harness.wait_until_all(3, 8.0)
         await asyncio.sleep(1.0)
-        for name, engine in bench.engines.by_name.items():
-            for order in engine.kept:
-                answer = bench.engines.carry_out(name, order)
+        for name, engine in harness.engines.by_name.items():
+            for order in engine.delayed:
+                answer = harness.engines.execute(name, order)
                 assert answer is OrderAnswer.CONFLICT
-        assert bench.engines.versions == {3}
-        await bench.rollout.close()
+        assert harness.engines.versions == {3}
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_a_new_leader_waits_and_one_that_lost_the_lead_gives_no_orders() -> None:
+def test_a_new_leader_waits_and_a_former_leader_sends_no_orders() -> None:
     async def main() -> None:
-        bench = Bench(*NAMES, pause_s=3.0)
-        await bench.start()
+        harness = RolloutHarness(*NAMES, pause_s=3.0)
+        await harness.start()
         await asyncio.sleep(2.9)
-        assert bench.engines.versions == {1}
-        bench.replica.leads = False
+        assert harness.engines.versions == {1}
+        harness.replica.leads = False
         await asyncio.sleep(3.0)
-        bench.replica.leads, bench.replica.term = True, 6
+        harness.replica.leads, harness.replica.term = True, 6
         await asyncio.sleep(2.9)
-        assert bench.engines.versions == {1}
-        await bench.until_all(2, 8.0)
-        orders = [o for e in bench.engines.by_name.values() for o in e.orders]
+        assert harness.engines.versions == {1}
+        await harness.wait_until_all(2, 8.0)
+        orders = [o for e in harness.engines.by_name.values() for o in e.orders]
         assert {o.number for o in orders} == {6}
-        await bench.rollout.close()
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_a_fenced_holder_stays_quiet_until_it_leads_anew() -> None:
+def test_a_fenced_leader_sends_no_orders_until_its_next_term() -> None:
     async def main() -> None:
-        bench = Bench("e0")
-        engine = bench.engines.by_name["e0"]
+        harness = RolloutHarness("e0")
+        engine = harness.engines.by_name["e0"]
 
         async def fenced(_: UpstreamRecord, order: WeightsOrder) -> OrderAnswer:
             engine.orders.append(order)
             return OrderAnswer.FENCED
 
-        bench.engines.order = fenced  # type: ignore[method-assign]
-        await bench.start()
+        harness.engines.order = fenced  # type: ignore[method-assign]
+        await harness.start()
         await asyncio.sleep(10.0)
         assert len(engine.orders) == 1
-        bench.replica.term = 7
+        harness.replica.term = 7
         await asyncio.sleep(1.0)
         assert [order.number for order in engine.orders] == [5, 7]
-        await bench.rollout.close()
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_a_incarnation_whose_address_passed_on_is_retired() -> None:
+def test_an_incarnation_whose_address_was_taken_over_is_retired() -> None:
     async def main() -> None:
-        bench = Bench("e0")
+        harness = RolloutHarness("e0")
 
         async def other(_: UpstreamRecord, order: WeightsOrder) -> OrderAnswer:
-            bench.engines.by_name["e0"].orders.append(order)
+            harness.engines.by_name["e0"].orders.append(order)
             return OrderAnswer.OTHER_INCARNATION
 
-        bench.engines.order = other  # type: ignore[method-assign]
-        await bench.start()
+        harness.engines.order = other  # type: ignore[method-assign]
+        await harness.start()
         await asyncio.sleep(5.0)
-        assert len(bench.engines.by_name["e0"].orders) == 1
-        found = bench.directory.get("e0", asyncio.get_running_loop().time())
+        assert len(harness.engines.by_name["e0"].orders) == 1
+        found = harness.directory.get("e0", asyncio.get_running_loop().time())
         assert found is not None and found.leaving
-        await bench.rollout.close()
+        await harness.rollout.close()
 
     run_paused(main())
 
 
 def test_while_some_are_dead_the_others_change_one_at_a_time() -> None:
-    """Two dead and two away of six would leave two for the load of six."""
+    """With two of six engines dead, two more out of service would leave only two for
+    the load of six."""
 
     async def main() -> None:
-        bench = Bench(*NAMES, "e5", bound_s=12.0)
+        harness = RolloutHarness(*NAMES, "e5", bound_s=12.0)
         for name in ("e0", "e1"):
-            bench.engines.by_name[name].dead = True
-        await bench.start()
+            harness.engines.by_name[name].dead = True
+        await harness.start()
         await asyncio.sleep(6.0)
-        assert [e.version for e in bench.engines.by_name.values()] == [1, 1, 2, 2, 2, 2]
-        assert bench.engines.most_at_once == 1
-        await bench.rollout.close()
+        assert [e.version for e in harness.engines.by_name.values()] == [
+            1,
+            1,
+            2,
+            2,
+            2,
+            2,
+        ]
+        assert harness.engines.max_concurrent == 1
+        await harness.rollout.close()
 
     run_paused(main())
 
 
 def test_the_engine_with_the_least_work_changes_first() -> None:
     async def main() -> None:
-        bench = Bench(*NAMES)
-        for number, engine in enumerate(bench.engines.by_name.values()):
+        harness = RolloutHarness(*NAMES)
+        for number, engine in enumerate(harness.engines.by_name.values()):
             engine.running = 4 - number
-        await bench.start()
-        await asyncio.sleep(MARK_SETTLE_S + 0.3)
-        changed = [n for n, e in bench.engines.by_name.items() if e.version == 2]
+        await harness.start()
+        await asyncio.sleep(MARK_PROPAGATION_S + 0.3)
+        changed = [n for n, e in harness.engines.by_name.items() if e.version == 2]
         assert changed == ["e3", "e4"]
-        await bench.rollout.close()
+        await harness.rollout.close()
 
     run_paused(main())
 
 
 def test_an_engine_does_not_wait_for_its_last_runs() -> None:
-    """Long streams that may not be moved again kept it away for two seconds more."""
+    """Waiting for long streams that may not be moved again kept an engine out of
+    service for two more seconds."""
 
     async def main() -> None:
-        bench = Bench("e0")
-        engine = bench.engines.by_name["e0"]
+        harness = RolloutHarness("e0")
+        engine = harness.engines.by_name["e0"]
         engine.running = 15
-        await bench.start()
-        await asyncio.sleep(MARK_SETTLE_S + DRAIN_S / 2)
+        await harness.start()
+        await asyncio.sleep(MARK_PROPAGATION_S + MAX_DRAIN_S / 2)
         assert engine.orders == []
-        engine.running = FEW_RUNS
+        engine.running = MAX_KEPT_RUNS
         await asyncio.sleep(0.3)
         assert [order.keep_runs for order in engine.orders] == [True]
-        await bench.rollout.close()
+        await harness.rollout.close()
 
     run_paused(main())
 
 
 def test_an_engine_with_many_runs_waits_for_them() -> None:
     async def main() -> None:
-        bench = Bench("e0")
-        engine = bench.engines.by_name["e0"]
+        harness = RolloutHarness("e0")
+        engine = harness.engines.by_name["e0"]
         engine.running = 15
-        await bench.start()
-        await asyncio.sleep(MARK_SETTLE_S + DRAIN_S + 0.4)
+        await harness.start()
+        await asyncio.sleep(MARK_PROPAGATION_S + MAX_DRAIN_S + 0.4)
         assert [order.keep_runs for order in engine.orders] == [False]
-        await bench.rollout.close()
+        await harness.rollout.close()
 
     run_paused(main())
 
 
-def test_the_bound_of_one_change_is_within_what_operators_expect() -> None:
-    assert weights_rollout.CHANGE_BOUND_S < 8.0
+def test_the_time_limit_of_one_change_is_below_eight_seconds() -> None:
+    assert weights_rollout.MAX_CHANGE_S < 8.0
