--- a/tests/test_control_open.py
+++ b/tests/test_control_open.py
@@ -134,9 +134,9 @@
 
 
 async def read_back(replica: Replica, number: int) -> bool:
-    result = await replica.number()
-    assert result is None or result >= number
-    return result == number
+    latest = await replica.number()
+    assert latest is None or latest >= number
+    return latest == number
 
 
 def test_a_replica_with_a_lost_disk_rejoins_without_losing_documents(
@@ -160,9 +160,9 @@
 
 
 def is_member(replica: Replica) -> bool:
-    result = replica.control._replica
-    assert result is not None
-    status = result.status
+    raft_replica = replica.control._replica
+    assert raft_replica is not None
+    status = raft_replica.status
     identities = {member.identity for member in status.members}
     return status.identity in identities and status.caught_up
 
--- a/tests/test_control_replicated.py
+++ b/tests/test_control_replicated.py
@@ -80,7 +80,7 @@
     run(tmp_path, steps)
 
 
-def test_a_malformed_order_is_audited_once_at_any_first_replica(tmp_path):
+def test_a_malformed_order_is_audited_once_though_a_follower_gets_it_first(tmp_path):
     async def steps(cluster: Cluster) -> None:
         leader = await cluster.leader()
         cluster.running[leader] = cluster.running.pop(leader)
@@ -131,17 +131,17 @@
     run(tmp_path, steps)
 
 
-def test_without_a_quorum_no_change_is_committed_and_a_later_one_succeeds(tmp_path):
+def test_a_change_without_a_quorum_is_not_committed_and_succeeds_later(tmp_path):
     async def steps(cluster: Cluster) -> None:
         assert await change(cluster, FIRST) == 1
-        last = await cluster.leader()
-        others = [name for name in cluster.names if name != last]
+        remaining = await cluster.leader()
+        others = [name for name in cluster.names if name != remaining]
         await cluster.stop(*others)
         async with cluster.client(timeout_s=1.0) as operator:
             refused = await operator.post("/v1/profiles", SECOND)
         assert refused.unwrap_err().code in ("no_quorum", "not_leader")
-        assert cluster.running[last].store.revision == 1
-        await cluster.stop(last)
+        assert cluster.running[remaining].store.revision == 1
+        await cluster.stop(remaining)
         await cluster.start(*cluster.names)
         assert await change(cluster, SECOND) == 2
         assert await change(cluster, SECOND) == 2
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "body", "status", "named"),
+    ("path", "body", "status", "expected_text"),
     [
         ("/v1/profiles", BODY | {"base": 3}, 409, "revision_from_future"),
         ("/v1/profiles", BODY | {"profile": PROFILE | {"pool": ""}}, 422, "pool"),
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -204,10 +204,7 @@
         others = [n for n in NAMES if n != leader.replica.status.name]
         await group.stop(*others)
         problem = (await leader.replica.propose(b"x", 10.0)).unwrap_err()
-        refusals = {
-            "no_quorum": None,
-            "not_leader": True,
-        }  # depends on when the lease ended
+        refusals = {"no_quorum": None, "not_leader": True}  # before, after lease end
         assert problem.not_run is refusals[problem.code]
         await until(lambda: not leader.replica.may_lead())
 
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -68,7 +68,7 @@
 ]
 
 
-@pytest.mark.parametrize("pace", CONCURRENCY_CASES)
+@pytest.mark.parametrize("case", CONCURRENCY_CASES)
 def test_how_many_change_at_once_by_the_time_left(
     case: tuple[int, int, float, int],
 ) -> None:
@@ -118,32 +118,32 @@
         self.unmarked = 0
 
     async def report(self, engine: UpstreamRecord) -> EngineReport | None:
-        found = self.by_name[engine.name]
-        await asyncio.sleep(0.4 if found.dead else 0.001)
-        if found.dead:
+        fake = self.by_name[engine.name]
+        await asyncio.sleep(0.4 if fake.dead else 0.001)
+        if fake.dead:
             return None
-        busy = self.busy(found)
-        return EngineReport({"m": found.version}, found.accepted, busy, found.running)
+        busy = self.busy(fake)
+        return EngineReport({"m": fake.version}, fake.accepted, busy, fake.running)
 
     async def order(self, engine: UpstreamRecord, order: WeightsOrder) -> OrderAnswer:
-        found = self.by_name[engine.name]
-        found.orders.append(order)
-        if found.dead or found.unanswered > 0:
-            found.unanswered -= 1
-            found.delayed.append(order)
+        fake = self.by_name[engine.name]
+        fake.orders.append(order)
+        if fake.dead or fake.unanswered > 0:
+            fake.unanswered -= 1
+            fake.delayed.append(order)
             await asyncio.sleep(0.4)
             return OrderAnswer.UNKNOWN
         return self.execute(engine.name, order)
 
     def execute(self, name: str, order: WeightsOrder) -> OrderAnswer:
-        found, now = self.by_name[name], asyncio.get_running_loop().time()
-        if self.busy(found) or order.after != found.accepted:
+        fake, now = self.by_name[name], asyncio.get_running_loop().time()
+        if self.busy(fake) or order.after != fake.accepted:
             return OrderAnswer.CONFLICT
         marked = self.directory.get(mark_name(name), now)
         self.unmarked += marked is None or not marked.ready
-        found.accepted += 1
-        found.busy_until = now + LOAD_S
-        found.version = order.version
+        fake.accepted += 1
+        fake.busy_until = now + LOAD_S
+        fake.version = order.version
         changing = sum(self.busy(other) for other in self.by_name.values())
         self.max_concurrent = max(self.max_concurrent, changing)
         return OrderAnswer.ACCEPTED
@@ -182,7 +182,7 @@
         return self
 
 
-class RolloutHarness:
+class RolloutSetup:
     """A rollout over fake engines on a paused clock."""
 
     def __init__(self, *names: str, pause_s: float = 0.0, bound_s: float = 8.0) -> None:
@@ -226,56 +226,54 @@
 
 def test_all_engines_change_a_few_at_a_time_while_marked() -> None:
     async def main() -> None:
-        harness = RolloutHarness(*NAMES)
-        await harness.start()
-        took_s = await harness.wait_until_all(2, 8.0)
+        setup = RolloutSetup(*NAMES)
+        await setup.start()
+        took_s = await setup.wait_until_all(2, 8.0)
         assert took_s < 3.0
-        assert (harness.engines.max_concurrent, harness.engines.unmarked) == (2, 0)
-        orders = [o for e in harness.engines.by_name.values() for o in e.orders]
+        assert (setup.engines.max_concurrent, setup.engines.unmarked) == (2, 0)
+        orders = [o for e in setup.engines.by_name.values() for o in e.orders]
         assert {(o.holder, o.number, o.version) for o in orders} == {("node", 5, 2)}
         assert len(orders) == len(NAMES)
         await asyncio.sleep(1.0)
         # The marks have ended, and the directory has the new weights.
         now = asyncio.get_running_loop().time()
         for name in NAMES:
-            found = harness.directory.get(name, now)
-            marked = harness.directory.get(mark_name(name), now)
-            assert found is not None and found.weights_version == "2"
+            upstream = setup.directory.get(name, now)
+            marked = setup.directory.get(mark_name(name), now)
+            assert upstream is not None and upstream.weights_version == "2"
             assert marked is None or not marked.ready
-        await harness.rollout.close()
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_a_superseded_version_is_skipped() -> None:
     async def main() -> None:
-        harness = RolloutHarness(*NAMES)
-        await harness.start()
+        setup = RolloutSetup(*NAMES)
+        await setup.start()
         await asyncio.sleep(MARK_PROPAGATION_S + 0.25)
-        harness.machine.config = Config(weights={"m": 3})
-        await harness.wait_until_all(3, 8.0)
-        ordered_once = [
-            e for e in harness.engines.by_name.values() if len(e.orders) == 1
-        ]
+        setup.machine.config = Config(weights={"m": 3})
+        await setup.wait_until_all(3, 8.0)
+        ordered_once = [e for e in setup.engines.by_name.values() if len(e.orders) == 1]
         assert len(ordered_once) == 3
-        await harness.rollout.close()
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_a_dead_engine_does_not_delay_the_others_and_changes_after_recovery() -> None:
     async def main() -> None:
-        harness = RolloutHarness(*NAMES)
-        dead = [harness.engines.by_name[name] for name in ("e0", "e1")]
+        setup = RolloutSetup(*NAMES)
+        dead = [setup.engines.by_name[name] for name in ("e0", "e1")]
         for engine in dead:
             engine.dead = True
-        await harness.start()
+        await setup.start()
         await asyncio.sleep(5.0)
-        assert [e.version for e in harness.engines.by_name.values()] == [1, 1, 2, 2, 2]
+        assert [e.version for e in setup.engines.by_name.values()] == [1, 1, 2, 2, 2]
         for engine in dead:
             engine.dead = False
-        assert await harness.wait_until_all(2, 8.0) < 3.0
-        await harness.rollout.close()
+        assert await setup.wait_until_all(2, 8.0) < 3.0
+        await setup.rollout.close()
 
     run_paused(main())
 
@@ -288,101 +286,101 @@
 
     async def main() -> None:
         names = tuple(f"e{number:02}" for number in range(16))
-        harness = RolloutHarness(*names)
+        setup = RolloutSetup(*names)
         dead, live = names[:5], names[5:]
         for name in dead:
-            harness.engines.by_name[name].dead = True
-        answer = harness.engines.report
+            setup.engines.by_name[name].dead = True
+        answer = setup.engines.report
 
         async def slow_if_dead(engine: UpstreamRecord) -> EngineReport | None:
             if engine.name in dead:
                 await asyncio.sleep(0.5)
             return await answer(engine)
 
-        harness.engines.report = slow_if_dead  # type: ignore[method-assign]
-        await harness.start()
+        setup.engines.report = slow_if_dead  # type: ignore[method-assign]
+        await setup.start()
         await asyncio.sleep(4.0)
-        assert {harness.engines.by_name[name].version for name in live} == {2}
-        await harness.rollout.close()
+        assert {setup.engines.by_name[name].version for name in live} == {2}
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_unanswered_orders_are_resent_and_void_when_executed_late() -> None:
     async def main() -> None:
-        harness = RolloutHarness(*NAMES)
-        for engine in harness.engines.by_name.values():
+        setup = RolloutSetup(*NAMES)
+        for engine in setup.engines.by_name.values():
             engine.unanswered = 1
-        await harness.start()
-        assert await harness.wait_until_all(2, 8.0) < 5.0
-        harness.machine.config = Config(weights={"m": 3})
-        await harness.wait_until_all(3, 8.0)
+        await setup.start()
+        assert await setup.wait_until_all(2, 8.0) < 5.0
+        setup.machine.config = Config(weights={"m": 3})
+        await setup.wait_until_all(3, 8.0)
         await asyncio.sleep(1.0)
-        for name, engine in harness.engines.by_name.items():
+        for name, engine in setup.engines.by_name.items():
             for order in engine.delayed:
-                answer = harness.engines.execute(name, order)
+                answer = setup.engines.execute(name, order)
                 assert answer is OrderAnswer.CONFLICT
-        assert harness.engines.versions == {3}
-        await harness.rollout.close()
+        assert setup.engines.versions == {3}
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_a_new_leader_waits_and_a_former_leader_sends_no_orders() -> None:
     async def main() -> None:
-        harness = RolloutHarness(*NAMES, pause_s=3.0)
-        await harness.start()
+        setup = RolloutSetup(*NAMES, pause_s=3.0)
+        await setup.start()
         await asyncio.sleep(2.9)
-        assert harness.engines.versions == {1}
-        harness.replica.leads = False
+        assert setup.engines.versions == {1}
+        setup.replica.leads = False
         await asyncio.sleep(3.0)
-        harness.replica.leads, harness.replica.term = True, 6
+        setup.replica.leads, setup.replica.term = True, 6
         await asyncio.sleep(2.9)
-        assert harness.engines.versions == {1}
-        await harness.wait_until_all(2, 8.0)
-        orders = [o for e in harness.engines.by_name.values() for o in e.orders]
+        assert setup.engines.versions == {1}
+        await setup.wait_until_all(2, 8.0)
+        orders = [o for e in setup.engines.by_name.values() for o in e.orders]
         assert {o.number for o in orders} == {6}
-        await harness.rollout.close()
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_a_fenced_leader_sends_no_orders_until_its_next_term() -> None:
     async def main() -> None:
-        harness = RolloutHarness("e0")
-        engine = harness.engines.by_name["e0"]
+        setup = RolloutSetup("e0")
+        engine = setup.engines.by_name["e0"]
 
         async def fenced(_: UpstreamRecord, order: WeightsOrder) -> OrderAnswer:
             engine.orders.append(order)
             return OrderAnswer.FENCED
 
-        harness.engines.order = fenced  # type: ignore[method-assign]
-        await harness.start()
+        setup.engines.order = fenced  # type: ignore[method-assign]
+        await setup.start()
         await asyncio.sleep(10.0)
         assert len(engine.orders) == 1
-        harness.replica.term = 7
+        setup.replica.term = 7
         await asyncio.sleep(1.0)
         assert [order.number for order in engine.orders] == [5, 7]
-        await harness.rollout.close()
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_an_incarnation_whose_address_was_taken_over_is_retired() -> None:
     async def main() -> None:
-        harness = RolloutHarness("e0")
+        setup = RolloutSetup("e0")
 
         async def other(_: UpstreamRecord, order: WeightsOrder) -> OrderAnswer:
-            harness.engines.by_name["e0"].orders.append(order)
+            setup.engines.by_name["e0"].orders.append(order)
             return OrderAnswer.OTHER_INCARNATION
 
-        harness.engines.order = other  # type: ignore[method-assign]
-        await harness.start()
+        setup.engines.order = other  # type: ignore[method-assign]
+        await setup.start()
         await asyncio.sleep(5.0)
-        assert len(harness.engines.by_name["e0"].orders) == 1
-        found = harness.directory.get("e0", asyncio.get_running_loop().time())
-        assert found is not None and found.leaving
-        await harness.rollout.close()
+        assert len(setup.engines.by_name["e0"].orders) == 1
+        upstream = setup.directory.get("e0", asyncio.get_running_loop().time())
+        assert upstream is not None and upstream.leaving
+        await setup.rollout.close()
 
     run_paused(main())
 
@@ -392,35 +390,28 @@
     the load of six."""
 
     async def main() -> None:
-        harness = RolloutHarness(*NAMES, "e5", bound_s=12.0)
+        setup = RolloutSetup(*NAMES, "e5", bound_s=12.0)
         for name in ("e0", "e1"):
-            harness.engines.by_name[name].dead = True
-        await harness.start()
+            setup.engines.by_name[name].dead = True
+        await setup.start()
         await asyncio.sleep(6.0)
-        assert [e.version for e in harness.engines.by_name.values()] == [
-            1,
-            1,
-            2,
-            2,
-            2,
-            2,
-        ]
-        assert harness.engines.max_concurrent == 1
-        await harness.rollout.close()
+        assert [e.version for e in setup.engines.by_name.values()] == [1, 1, 2, 2, 2, 2]
+        assert setup.engines.max_concurrent == 1
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_the_engine_with_the_least_work_changes_first() -> None:
     async def main() -> None:
-        harness = RolloutHarness(*NAMES)
-        for number, engine in enumerate(harness.engines.by_name.values()):
+        setup = RolloutSetup(*NAMES)
+        for number, engine in enumerate(setup.engines.by_name.values()):
             engine.running = 4 - number
-        await harness.start()
+        await setup.start()
         await asyncio.sleep(MARK_PROPAGATION_S + 0.3)
-        changed = [n for n, e in harness.engines.by_name.items() if e.version == 2]
+        changed = [n for n, e in setup.engines.by_name.items() if e.version == 2]
         assert changed == ["e3", "e4"]
-        await harness.rollout.close()
+        await setup.rollout.close()
 
     run_paused(main())
 
@@ -430,32 +421,32 @@
     service for two more seconds."""
 
     async def main() -> None:
-        harness = RolloutHarness("e0")
-        engine = harness.engines.by_name["e0"]
+        setup = RolloutSetup("e0")
+        engine = setup.engines.by_name["e0"]
         engine.running = 15
-        await harness.start()
+        await setup.start()
         await asyncio.sleep(MARK_PROPAGATION_S + MAX_DRAIN_S / 2)
         assert engine.orders == []
         engine.running = MAX_KEPT_RUNS
         await asyncio.sleep(0.3)
         assert [order.keep_runs for order in engine.orders] == [True]
-        await harness.rollout.close()
+        await setup.rollout.close()
 
     run_paused(main())
 
 
 def test_an_engine_with_many_runs_waits_for_them() -> None:
     async def main() -> None:
-        harness = RolloutHarness("e0")
-        engine = harness.engines.by_name["e0"]
+        setup = RolloutSetup("e0")
+        engine = setup.engines.by_name["e0"]
         engine.running = 15
-        await harness.start()
+        await setup.start()
         await asyncio.sleep(MARK_PROPAGATION_S + MAX_DRAIN_S + 0.4)
         assert [order.keep_runs for order in engine.orders] == [False]
-        await harness.rollout.close()
+        await setup.rollout.close()
 
     run_paused(main())
 
 
-def test_the_time_limit_of_one_change_is_below_eight_seconds() -> None:
+def test_one_change_ends_within_the_time_that_operators_expect() -> None:
     assert weights_rollout.MAX_CHANGE_S < 8.0
