--- a/gooseberrydale/process/control/announcements.py
+++ b/gooseberrydale/process/control/announcements.py
@@ -1,8 +1,7 @@
 """Accepts the announcements of upstreams that have no sidecar.
 
-Each process has one. The records are stored in the directory, and mesh sessions
-propagate them to all other processes, so an upstream may announce itself to any
-replica.
+Records are stored in the directory, and mesh sessions propagate them to all other
+processes, so an upstream may announce itself to any control replica.
 """
 
 from __future__ import annotations
@@ -66,14 +65,14 @@
         """
         seq = record.seq * SEQS_PER_HEARTBEAT
         record = replace(record, seq=seq, lease_s=self._lease_s)
-        known = self._directory.newest_incarnation(record.name)
-        incarnation = incarnation_told(known, born)
+        newest = self._directory.newest_incarnation(record.name)
+        incarnation = incarnation_told(newest, born)
         if incarnation is None:
-            emit(EarlierIncarnation(record.name, born or 0, born_ms(known) or 0))
+            emit(EarlierIncarnation(record.name, born or 0, born_ms(newest) or 0))
             self._check_clock(record, born)
             return
-        if known and incarnation != known:
-            emit(UpstreamReborn(record.name, born or 0, born_ms(known) or 0))
+        if newest and incarnation != newest:
+            emit(UpstreamReborn(record.name, born or 0, born_ms(newest) or 0))
         self._offer(replace(record, incarnation=incarnation))
         self._check_predecessors(record, incarnation)
 
@@ -83,13 +82,13 @@
         It receives no new work.
         """
         now = asyncio.get_running_loop().time()
-        known = self._directory.get(name, now) or _placeholder(
+        record = self._directory.get(name, now) or _placeholder(
             name, self._directory.newest_incarnation(name)
         )
         emit(UpstreamRetired(name))
         self._offer(
             replace(
-                known, seq=FINAL_SEQ, ready=False, leaving=True, lease_s=MAX_LEASE_S
+                record, seq=FINAL_SEQ, ready=False, leaving=True, lease_s=MAX_LEASE_S
             )
         )
 
@@ -99,22 +98,22 @@
         ``born`` is the start of the incarnation that reported them, None if unknown.
         """
         now = asyncio.get_running_loop().time()
-        known = self._directory.get(name, now)
-        if known is None or known.leaving:
+        record = self._directory.get(name, now)
+        if record is None or record.leaving:
             return
         incarnation = (
-            known.incarnation
+            record.incarnation
             if born is None
-            else incarnation_after(known.incarnation, born)
+            else incarnation_after(record.incarnation, born)
         )
-        if incarnation != known.incarnation:
+        if incarnation != record.incarnation:
             # Sequence number 0 lets the incarnation's own announcements replace this
             # record.
             self._offer(
-                replace(known, incarnation=incarnation, seq=0, weights_version=version)
+                replace(record, incarnation=incarnation, seq=0, weights_version=version)
             )
-        elif known.weights_version != version:
-            self._offer(replace(known, seq=known.seq + 1, weights_version=version))
+        elif record.weights_version != version:
+            self._offer(replace(record, seq=record.seq + 1, weights_version=version))
 
     def _check_predecessors(self, record: UpstreamRecord, incarnation: str) -> None:
         """Retire dead upstreams that started earlier at the same address.
--- a/gooseberrydale/process/control/documents.py
+++ b/gooseberrydale/process/control/documents.py
@@ -1,7 +1,7 @@
 """Documents and named weights, committed by whichever replica leads.
 
-Each process has one. Operators may send requests to any replica; one that doesn't lead
-forwards them to the leader and returns its answer.
+Operators may send requests to any replica; one that doesn't lead forwards them to the
+leader and returns its answer.
 """
 
 from __future__ import annotations
--- a/gooseberrydale/process/control/engine_survey.py
+++ b/gooseberrydale/process/control/engine_survey.py
@@ -17,19 +17,19 @@
 from gooseberrydale.version.directory import Directory
 
 POLL_INTERVAL_S = 1.0
-"""Interval at which all engines of a model are polled while it changes weights. Polls
-take work from the engines: polling twice a second, and polling draining engines as
-well, added 270 and 320 polls in two days of three changes, which cost 0.003 of the
-value of all answers."""
+"""Interval at which all engines of a model are polled while it changes weights. More
+polls cost more than they gain: polling twice a second, and draining engines as well,
+added 270 and 320 polls on two days with three changes each, which lowered the value of
+all answers by 0.003."""
 
 MAX_POLLS_PER_S = 100.0
 """Limit on the polls of all engines together: with many engines, each is polled less
 often. A poll takes about 0.3 ms of processor time."""
 
 SILENT_RETRY_S = 0.6
-"""Delay before an engine that didn't answer is polled again. This runs beside the
-changes, so the engine blocks no other one, and it gets the newest weights soon after it
-has recovered."""
+"""Delay before an engine that didn't answer is polled again. These polls run beside the
+changes, so a silent engine delays no other one, and it receives the newest weights soon
+after it has recovered."""
 
 
 class EnginePoller:
@@ -61,7 +61,7 @@
     def poll(self, names: Collection[str], busy: Collection[str]) -> bool:
         """Poll the engines ``names``, except those that are ``busy``, if a poll is due.
 
-        Return True if this is the first poll of a change: no reports are available yet.
+        Return True if the last poll was long ago: no recent reports are available yet.
         """
         now = _now()
         if not names or now < self._next_at:
--- a/gooseberrydale/process/control/weights_rollout.py
+++ b/gooseberrydale/process/control/weights_rollout.py
@@ -48,8 +48,8 @@
 """An engine with at most this many runs doesn't wait for them; they continue with the
 new weights. The remaining runs are the longest streams, which have been moved before
 and may not be moved again. Waiting for one or two of them kept an engine out of service
-for two of the three seconds of a change. While two of six engines change, that is a
-third of their capacity."""
+for two of the three seconds of a change. With two of six engines changing at a time,
+that is a third of the capacity."""
 
 MAX_DRAIN_S = 1.0
 """Longest wait for an engine to drain to that many runs; most of its streams have been
@@ -72,8 +72,8 @@
 
 RESEND_DELAY_S = 0.1
 """Delay before an unanswered order is sent again if the engine's report shows no effect
-of it. Whichever copy is executed first makes the other one void, and the engine is out
-of service meanwhile."""
+of it. A second copy does no harm, as whichever is executed first makes the other one
+void. A longer delay would keep the engine out of service longer."""
 
 
 class WeightsRollout:
@@ -134,7 +134,9 @@
     def _may_order(self) -> bool:
         """Return whether this replica leads and may send orders.
 
-        After an election it waits until orders of an earlier leader have arrived.
+        After an election it waits for ``pause_s``, until late orders of the previous
+        leader have arrived. Once an engine has rejected an order because of a newer
+        leader, it sends no more in this term.
         """
         if not self._replica.may_lead():
             self._term = 0
