--- a/gooseberrydale/errors.py
+++ b/gooseberrydale/errors.py
@@ -418,7 +418,8 @@
 ALREADY_STARTED = ErrorKind(
     "already_started",
     409,
-    "The data folder {folder} already contains a log; use init only once.",
+    "The data folder {folder} already contains a log; init is only for the first"
+    " start.",
 )
 FOLDER_IN_USE = ErrorKind(
     "folder_in_use",
--- a/gooseberrydale/log_events.py
+++ b/gooseberrydale/log_events.py
@@ -109,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestQuarantined(LogEvent):
-    """A request is sent to no upstream, because it terminated earlier ones.
+    """A request is sent to no upstream, because earlier ones terminated running it.
 
     ``ended`` are the incarnations that terminated while they ran it.  ``digest`` is
     equal for all requests with the same content.
@@ -144,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamSuspected(LogEvent):
-    """A connection to an upstream failed, so it is avoided for ``for_ms``.
+    """A connection could not be opened or broke; the upstream is avoided ``for_ms``.
 
     ``failures`` counts the failures in a row.
     """
@@ -229,10 +229,10 @@
 
 @dataclass(frozen=True, slots=True)
 class UpstreamBack(LogEvent):
-    """A suspected upstream answered again; ``failures`` counts those before."""
+    """A suspected upstream answered again, after ``failures`` failed connections."""
 
     NAME: ClassVar[str] = "upstream_back"
-    TEXT: ClassVar[str] = "upstream back"
+    TEXT: ClassVar[str] = "upstream answers again"
 
     upstream: str
     failures: int
@@ -318,7 +318,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightsNamed(LogEvent):
-    """This process learned that ``version`` is the newest of a model's weights."""
+    """This process recorded ``version`` as the newest weights of ``model``."""
 
     NAME: ClassVar[str] = "weights_named"
     TEXT: ClassVar[str] = "newer weights named"
--- a/gooseberrydale/process/cfg_checks.py
+++ b/gooseberrydale/process/cfg_checks.py
@@ -95,7 +95,7 @@
         yield from _group_faults(table)
         yield from _open_group_faults(table)
     if role in ("entry", "gateway", "sidecar"):
-        yield from _if_any(_reachable_peers(table))
+        yield from _if_any(_missing_peers(table))
 
 
 def warnings(cfg: Cfg) -> tuple[str, ...]:
@@ -283,7 +283,7 @@
         yield Fault("control.bootstrap", reason, "run 'control init' on one replica")
 
 
-def _reachable_peers(table: Table) -> Fault | None:
+def _missing_peers(table: Table) -> Fault | None:
     """Check that the settings list a process to connect to."""
     fleet = table.get("fleet")
     if not isinstance(fleet, dict) or fleet.get("controls") or fleet.get("entries"):
--- a/gooseberrydale/process/cli.py
+++ b/gooseberrydale/process/cli.py
@@ -1,6 +1,6 @@
 """The command line: ``gooseberrydale COMMAND --cfg FILE``.
 
-The commands that run a role return when the process is asked to stop.
+A command that runs a role ends when the process is asked to stop.
 """
 
 from __future__ import annotations
--- a/gooseberrydale/process/http_protocol.py
+++ b/gooseberrydale/process/http_protocol.py
@@ -116,7 +116,7 @@
             self._refuse(problem(HEAD_TOO_LARGE, limit=self.head_bytes))
 
     def _refuse(self, reason: Problem) -> None:
-        """Send an error for a request that the application has not read; close."""
+        """Answer the current request with an error and close the connection."""
         self._stop_timer()
         if self.cycle is not None and not self.cycle.response_complete:
             if not self._fails_in_body():
--- a/gooseberrydale/process/line_out.py
+++ b/gooseberrydale/process/line_out.py
@@ -59,7 +59,7 @@
 
 
 class LineWriter:
-    """Writes complete lines to a file descriptor, which is made non-blocking.
+    """Writes complete lines to a file descriptor; makes pipes and sockets non-blocking.
 
     ``dropped`` counts the lines that were never written.
     """
--- a/gooseberrydale/process/losses.py
+++ b/gooseberrydale/process/losses.py
@@ -57,7 +57,7 @@
     FAILED = "failed"
 
 
-# Outcomes that the declarations ask for; they are not losses.
+# Refusals that the declarations require; they don't count as losses.
 _DECLARED_OUTCOMES = frozenset(
     {"no_declared_route", "unknown_caller_key", "body_too_large"}
 )
