--- a/gooseberrydale/errors.py
+++ b/gooseberrydale/errors.py
@@ -418,8 +418,7 @@
 ALREADY_STARTED = ErrorKind(
     "already_started",
     409,
-    "The data folder {folder} already contains a log; init is only for the first"
-    " start.",
+    "The data folder {folder} already holds a log; init is for the first start only.",
 )
 FOLDER_IN_USE = ErrorKind(
     "folder_in_use",
@@ -429,7 +428,7 @@
 NOTHING_TO_RECOVER = ErrorKind(
     "nothing_to_recover",
     409,
-    "The data folder {folder} contains no log; run recover on a replica with an intact"
+    "The data folder {folder} holds no log; run recover on a replica with an intact"
     " disk.",
 )
 REVISION_CONFLICT = ErrorKind(
--- a/gooseberrydale/process/explain.py
+++ b/gooseberrydale/process/explain.py
@@ -75,7 +75,7 @@
     "no_room": "every upstream would have answered too late or accepted no work",
     "over_quota": "its workspace was over its quota",
     "not_ready": "the gateway had not received a document yet",
-    "shutting_down": "the gateway was shutting down, so it was to be sent to another one",
+    "shutting_down": "the gateway was shutting down; another one is to run it",
     "no_declared_route": "the document in force has no route for it",
     "unknown_caller_key": "the document in force does not list its key",
     "body_too_large": "its body was over the declared limit",
