--- a/gooseberrydale/errors.py
+++ b/gooseberrydale/errors.py
@@ -74,7 +74,7 @@
 class InvariantError(AssertionError):
     """An invariant of the program is violated, which means a bug.
 
-    It is never handled: if a task raises it, the runner stops the process.
+    No code recovers from it: if a task raises it, the runner stops the process.
     """
 
 
--- a/gooseberrydale/log_events.py
+++ b/gooseberrydale/log_events.py
@@ -427,7 +427,7 @@
     """An order to load weights was sent to an upstream.
 
     ``number`` is the order's fencing number, ``after`` how many orders the engine had
-    accepted before.
+    accepted before, ``outcome`` its answer.
     """
 
     NAME: ClassVar[str] = "weights_order"
--- a/gooseberrydale/process/cfg.py
+++ b/gooseberrydale/process/cfg.py
@@ -99,7 +99,7 @@
     ``ready`` is the listener whose answers tell the load balancer whether to send
     connections.  The process is killed ``grace_s`` seconds after it was asked to stop.
 
-    Retries of a pool's requests are limited over all gateways together, in windows of
+    Retries of a pool's requests are limited over all gateways together, within any
     ten seconds, to ``retry_ratio`` times its requests plus ``retry_slack``.  Each
     gateway divides ``retry_slack`` by the number of gateways that it has recorded, or
     by ``gateways`` if that is larger.
--- a/gooseberrydale/process/instruments.py
+++ b/gooseberrydale/process/instruments.py
@@ -102,7 +102,7 @@
     claims_made: Any
     lease_renewals: Any
     cache_resyncs: Any
-    # References that keep the observable instruments alive.
+    # The observable instruments that read ``tally`` and ``level``.
     _observables: tuple[Any, ...] = field(default=(), repr=False)
 
     def count_request(self, profile: str, outcome: str) -> None:
