--- a/gooseberrydale/example/__init__.py
+++ b/gooseberrydale/example/__init__.py
@@ -1,1 +1,1 @@
-"""Small upstreams and stores for trying the router out, for tests and measures."""
+"""Example upstreams and stores, to try out, test and measure the router with."""
--- a/gooseberrydale/example/__main__.py
+++ b/gooseberrydale/example/__main__.py
@@ -12,7 +12,7 @@
 from gooseberrydale.example.engine import EngineCfg
 from gooseberrydale.example.engine_app import engine_app
 from gooseberrydale.example.engine_host import HostCfg
-from gooseberrydale.example.kv_store_app import KEPT_ENTRIES, kv_store_app
+from gooseberrydale.example.kv_store_app import MAX_ENTRIES, kv_store_app
 from gooseberrydale.example.service_app import service_app
 from gooseberrydale.example.weight_store_app import weight_store_app
 
@@ -67,14 +67,14 @@
 def service(
     *, host: str = HOST, port: int = 0, port_file: str = "", delay_s: float = 0.0
 ) -> None:
-    """Run a plain service whose calls take ``delay_s`` seconds."""
+    """Run a service whose calls take ``delay_s`` seconds."""
     _run(service_app(delay_s), host, port, port_file)
 
 
 def kv_store(
-    *, host: str = HOST, port: int = 0, port_file: str = "", entries: int = KEPT_ENTRIES
+    *, host: str = HOST, port: int = 0, port_file: str = "", entries: int = MAX_ENTRIES
 ) -> None:
-    """Run a store of kept KV cache."""
+    """Run a store of KV cache pieces; ``entries`` limits their number."""
     _run(kv_store_app(entries), host, port, port_file)
 
 
@@ -86,7 +86,7 @@
     slots: int = 2,
     load_s: float = 0.5,
 ) -> None:
-    """Run a weight store with ``slots`` loads at full speed."""
+    """Run a weight store that serves ``slots`` loads at full speed at the same time."""
     _run(weight_store_app(slots, load_s), host, port, port_file)
 
 
@@ -95,7 +95,7 @@
 
 
 def main() -> None:
-    """Choose the app by its name on the command line."""
+    """Run the app that is named on the command line."""
     commands = {
         "engine": engine,
         "service": service,
--- a/gooseberrydale/example/app_server.py
+++ b/gooseberrydale/example/app_server.py
@@ -1,7 +1,7 @@
 """Serves one app over HTTP inside a running event loop.
 
-Plain uvicorn on asyncio: no reload, no workers, no signal handlers of its own, so
-that several servers fit into one process.  Lives from ``start`` to ``close``.
+It runs uvicorn on asyncio without reloading, worker processes or signal handlers, so
+that several servers can run in one process.
 """
 
 from __future__ import annotations
@@ -17,17 +17,19 @@
 from starlette.applications import Starlette
 
 STARTUP_POLL_S = 0.01
-GRACE_S = 2
+SHUTDOWN_GRACE_S = 2  # uvicorn takes whole seconds only
 
 
-class _Server(uvicorn.Server):
+class _EmbeddedServer(uvicorn.Server):
+    """A uvicorn server that leaves the signal handlers of the process alone."""
+
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
         yield
 
 
 class AppServer:
-    """One app on one address; ``port`` 0 takes a free one, read it after start."""
+    """Serves an app on one address; ``start`` replaces port 0 by a free port."""
 
     def __init__(self, app: Starlette, host: str = "127.0.0.1", port: int = 0) -> None:
         self.host = host
@@ -41,9 +43,9 @@
             log_config=None,
             log_level="warning",
             access_log=False,
-            timeout_graceful_shutdown=GRACE_S,
+            timeout_graceful_shutdown=SHUTDOWN_GRACE_S,
         )
-        self._server = _Server(cfg)
+        self._server = _EmbeddedServer(cfg)
         self._task: asyncio.Task[None] | None = None
 
     @property
@@ -52,21 +54,21 @@
         return f"http://{self.host}:{self.port}"
 
     async def start(self) -> None:
-        """Listen; raises OSError if that fails."""
+        """Start to listen; raise OSError if the address cannot be bound."""
         self._task = asyncio.create_task(self._serve())
         while not self._server.started:
             if self._task.done():
-                raise OSError(f"cannot serve on {self.host}:{self.port}")
+                raise OSError(f"cannot listen on {self.host}:{self.port}")
             await asyncio.sleep(STARTUP_POLL_S)
         self.port = self._server.servers[0].sockets[0].getsockname()[1]
 
     async def wait(self) -> None:
-        """Return when the server has ended."""
+        """Wait until the server has stopped."""
         if self._task is not None:
             await self._task
 
     async def close(self) -> None:
-        """Stop listening, give running requests a short while, and end."""
+        """Stop listening; give running requests SHUTDOWN_GRACE_S seconds to end."""
         self._server.should_exit = True
         await self.wait()
 
@@ -74,26 +76,26 @@
         try:
             await self._server.serve()
         except SystemExit:
-            # uvicorn's way to say that it could not bind; it has logged why.
+            # uvicorn exits if it cannot bind the address; it has logged the reason.
             return
 
 
 async def run_app(app: Starlette, host: str, port: int, port_file: str) -> None:
-    """Serve until SIGTERM or SIGINT; once it listens, ``port_file`` has the port."""
+    """Serve until SIGTERM or SIGINT; write the port to ``port_file`` when ready."""
     server = AppServer(app, host, port)
     await server.start()
     if port_file:
         write_atomically(Path(port_file), f"{server.port}\n")
     stopped = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stopped.set)
     await stopped.wait()
     await server.close()
 
 
 def write_atomically(path: Path, text: str) -> None:
-    """Write a file that readers see either whole or not at all."""
+    """Write a file so that readers never see part of its content."""
     draft = path.with_name(f".{path.name}.{os.getpid()}")
     draft.write_text(text)
     draft.replace(path)
--- a/gooseberrydale/example/cache_feed.py
+++ b/gooseberrydale/example/cache_feed.py
@@ -1,7 +1,8 @@
-"""Cache events as engines publish them: late, with gaps, repeats and reordering.
+"""Cache events as engines publish them: delayed, lost, repeated and out of order.
 
-:class:`CacheFeed` numbers every change and says when which event reaches the
-subscribers.  Pure, but for the injected random numbers; lives as long as one engine.
+:class:`CacheFeed` numbers every change of the cache and decides when its event is sent
+to the subscribers.  It is pure except for the random generator that is passed in.  Each
+engine has one feed.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FeedCfg:
-    """``delay_s`` holds every event back; the rates are chances from 0 to 1."""
+    """``delay_s`` delays every event; the rates are probabilities from 0 to 1."""
 
     delay_s: float = 0.05
     drop_rate: float = 0.0
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CacheEvent:
-    """One event as it goes out; ``seq`` rises by one with each change."""
+    """One event as it is sent; ``seq`` rises by one with each change of the cache."""
 
     incarnation: str
     seq: int
@@ -34,14 +35,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Delivery:
-    """An event and when it goes out."""
+    """An event and the time at which to send it."""
 
-    due: float
+    due_at: float
     event: CacheEvent
 
 
 class CacheFeed:
-    """Numbers changes and turns them into deliveries."""
+    """Numbers the changes of a cache and schedules the events that report them."""
 
     def __init__(self, cfg: FeedCfg, incarnation: str, rng: random.Random) -> None:
         self._cfg = cfg
@@ -50,16 +51,16 @@
         self.seq = 0
 
     def publish(self, change: CacheChange, now: float) -> list[Delivery]:
-        """Return the deliveries of a change: none if it gets lost."""
+        """Return the deliveries of a change: none if the event is lost."""
         self.seq += 1
         event = CacheEvent(self._incarnation, self.seq, change.stored, change.removed)
         if self._rng.random() < self._cfg.drop_rate:
             return []
-        due = now + self._cfg.delay_s
+        due_at = now + self._cfg.delay_s
         if self._rng.random() < self._cfg.reorder_rate:
-            # Later than the next ones, which overtake it.
-            due += self._cfg.delay_s + self._rng.random() * self._cfg.delay_s
-        deliveries = [Delivery(due, event)]
+            # Events that are published soon after this one are sent before it.
+            due_at += self._cfg.delay_s + self._rng.random() * self._cfg.delay_s
+        deliveries = [Delivery(due_at, event)]
         if self._rng.random() < self._cfg.repeat_rate:
-            deliveries.append(Delivery(due + self._cfg.delay_s, event))
+            deliveries.append(Delivery(due_at + self._cfg.delay_s, event))
         return deliveries
--- a/gooseberrydale/example/completions.py
+++ b/gooseberrydale/example/completions.py
@@ -1,7 +1,7 @@
-"""The completion calls of the example engine: streamed and plain answers.
+"""The completion calls of the example engine, with streamed and unstreamed answers.
 
-A run lives for one request; it ends when the answer is whole or the caller goes
-away, which cancels it in the engine.
+A job in the engine is cancelled if its caller disconnects before the answer is
+complete.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 CHAT_PATH = "/v1/chat/completions"
 TEXT_PATH = "/v1/completions"
 STREAM_END = b"data: [DONE]\n\n"
-QUEUE_RETRY_S = 1.0
+QUEUE_FULL_RETRY_S = 1.0
 
 
 class Completion:
-    """One request: its prompt, its job and the shape of its answer."""
+    """Runs the job of one request and formats its answer."""
 
     def __init__(self, host: EngineHost, prompt: Prompt, req: Request) -> None:
         self._host = host
@@ -49,7 +49,7 @@
         }
 
     async def tokens(self) -> AsyncGenerator[str]:
-        """Run the job and yield its answer; leaving early cancels the job."""
+        """Run the job and yield its tokens; closing the generator cancels the job."""
         prompt = self._prompt
         job_id = self._host.submit(prompt, self._request_id, self._attempt, self._path)
         outputs = self._host.outputs(job_id)
@@ -57,11 +57,11 @@
             while not isinstance(output := await outputs.get(), Finished):
                 if isinstance(output, Started):
                     self._cached_tokens = output.cached_tokens
-                # A resumed answer may have been whole already.
+                # A resumed answer may be complete already and needs no further token.
                 elif output.index < prompt.answer_tokens:
                     yield self._text_at(prompt.first_index + output.index)
         finally:
-            self._host.finish(job_id)
+            self._host.release(job_id)
 
     async def events(self) -> AsyncGenerator[bytes]:
         """Yield the answer as server-sent events."""
@@ -74,8 +74,8 @@
             yield _event({**self._chunk([]), "usage": usage})
         yield STREAM_END
 
-    async def whole(self) -> dict[str, Any]:
-        """Return the answer as one object."""
+    async def full_answer(self) -> dict[str, Any]:
+        """Return the complete answer as one JSON object."""
         text = "".join([text async for text in self.tokens()])
         choice: dict[str, Any] = {"index": 0, "finish_reason": self._finish_reason()}
         if self._chat:
@@ -92,7 +92,7 @@
     def _text_at(self, index: int) -> str:
         token = answer_token(self._prompt.digest, index)
         if index == self._prompt.first_index:
-            # An answer that was cut within a token goes on within it.
+            # An answer that was interrupted within a token continues within it.
             return token[len(self._prompt.emitted) % TOKEN_CHARS :]
         return token
 
@@ -122,25 +122,25 @@
 
 
 async def complete(host: EngineHost, req: Request) -> Response:
-    """Answer one completion call."""
+    """Answer one completion call, streamed or unstreamed."""
     parsed = parse_prompt(await req.body(), chat=req.url.path == CHAT_PATH)
     if isinstance(parsed, Err):
         return problem_response(parsed.err_value)
     if host.engine.waiting >= host.cfg.max_waiting:
-        return problem_response(problem(QUEUE_FULL, retry_after_s=QUEUE_RETRY_S))
+        return problem_response(problem(QUEUE_FULL, retry_after_s=QUEUE_FULL_RETRY_S))
     completion = Completion(host, parsed.ok_value, req)
     if parsed.ok_value.body.stream:
         return StreamingResponse(completion.events(), media_type="text/event-stream")
-    return await _plain(completion, req)
+    return await _answer_unstreamed(completion, req)
 
 
-async def _plain(completion: Completion, req: Request) -> Response:
-    answer = asyncio.create_task(completion.whole())
-    gone = asyncio.create_task(_disconnected(req))
+async def _answer_unstreamed(completion: Completion, req: Request) -> Response:
+    answer = asyncio.create_task(completion.full_answer())
+    disconnect = asyncio.create_task(_wait_disconnected(req))
     try:
-        await asyncio.wait({answer, gone}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({answer, disconnect}, return_when=asyncio.FIRST_COMPLETED)
     finally:
-        gone.cancel()
+        disconnect.cancel()
         if not answer.done():
             answer.cancel()
     if answer.done() and not answer.cancelled():
@@ -148,7 +148,7 @@
     return Response(status_code=499)
 
 
-async def _disconnected(req: Request) -> None:
+async def _wait_disconnected(req: Request) -> None:
     while (await req.receive())["type"] != "http.disconnect":
         continue
 
--- a/gooseberrydale/example/engine.py
+++ b/gooseberrydale/example/engine.py
@@ -1,12 +1,13 @@
 """Model of a language-model engine with continuous batching.
 
-Up to ``max_batch`` jobs run at once; the others wait, the highest priority first.
-Running jobs are prefilled one after the other at a fixed rate, over the tokens that
-the prefix cache lacks; then each emits one token per decode step.  Prefill does not
-slow down decoding (real engines split it into chunks to that end).
-
-Pure: time is passed in, what happened comes out as a list.  Lives as long as its
-process; the app around it (``engine_host``) owns the clock.
+Up to ``max_batch`` jobs run at the same time.  The others wait; the highest priority is
+admitted first.  Admitted jobs are prefilled one after the other at a fixed rate, which
+applies to the tokens that are not in the prefix cache.  Then each job emits one token
+per decode step.  Prefill does not slow down decoding, as real engines split it into
+chunks for that purpose.
+
+The model is pure: callers (``engine_host``) pass the time in, and each step returns a
+list of what happened.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineCfg:
-    """Speed and size of an engine: seconds, tokens, tokens a second."""
+    """Speed and size of an engine, in seconds, tokens and tokens per second (tps)."""
 
     max_batch: int = 8
     prefill_tps: float = 20_000.0
@@ -70,6 +71,8 @@
 
 @dataclass(slots=True)
 class _Decoding:
+    """A job in the decode phase; it emits its next token at ``next_at``."""
+
     job: Job
     next_at: float
     emitted: int = 0
@@ -77,6 +80,8 @@
 
 @dataclass(slots=True)
 class _Prefill:
+    """The prefill that runs now, and the generation of the weights it began with."""
+
     job: Job
     ends_at: float
     generation: int
@@ -84,6 +89,8 @@
 
 @dataclass(slots=True)
 class _Queues:
+    """All jobs by phase: waiting, admitted, in prefill, decoding."""
+
     waiting: list[tuple[int, int, Job]] = field(default_factory=list)
     admitted: deque[Job] = field(default_factory=deque)
     prefill: _Prefill | None = None
@@ -91,7 +98,7 @@
 
 
 class Engine:
-    """State of one engine; every method is told the time and returns what happened."""
+    """State of one engine; its methods return the outputs up to the given time."""
 
     def __init__(self, cfg: EngineCfg) -> None:
         self._cfg = cfg
@@ -103,14 +110,14 @@
 
     @property
     def running(self) -> int:
-        """Jobs in the batch."""
+        """Number of jobs in the batch."""
         queues = self._queues
         prefilling = 0 if queues.prefill is None else 1
         return len(queues.admitted) + prefilling + len(queues.decoding)
 
     @property
     def waiting(self) -> int:
-        """Jobs that wait for a place in the batch."""
+        """Number of jobs that wait for a slot in the batch."""
         return len(self._queues.waiting)
 
     @property
@@ -120,15 +127,15 @@
         return queued + sum(job.prompt_tokens for job in self._queues.admitted)
 
     def submit(self, job: Job, now: float) -> list[Output]:
-        """Take a job in."""
+        """Queue a job, and admit it if the batch has a free slot."""
         outputs = self.advance(now)
         self._arrivals += 1
         heapq.heappush(self._queues.waiting, (-job.priority, self._arrivals, job))
-        outputs += self._fill(now)
+        outputs += self._admit_waiting(now)
         return outputs
 
     def cancel(self, job_id: int, now: float) -> list[Output]:
-        """Drop a job wherever it is; unknown ids are ignored."""
+        """Remove a job in whatever phase it is; unknown ids are ignored."""
         outputs = self.advance(now)
         queues = self._queues
         queues.waiting = [e for e in queues.waiting if e[2].job_id != job_id]
@@ -137,30 +144,30 @@
         if queues.prefill is not None and queues.prefill.job.job_id == job_id:
             queues.prefill = None
         queues.decoding.pop(job_id, None)
-        outputs += self._fill(now)
+        outputs += self._admit_waiting(now)
         return outputs
 
     def pause(self) -> None:
-        """Admit no further job until weights are in force; running ones go on."""
+        """Admit no job until ``resume`` or ``replace_weights``; running ones go on."""
         self._paused = True
 
     def resume(self, now: float) -> list[Output]:
-        """Admit jobs again, with the cache as it was."""
+        """Admit jobs again; the cache is unchanged."""
         outputs = self.advance(now)
         self._paused = False
-        return outputs + self._fill(now)
+        return outputs + self._admit_waiting(now)
 
     def replace_weights(self, now: float) -> list[Output]:
-        """Drop the whole cache, as it belongs to the old weights, and go on."""
+        """Clear the cache, which belongs to the old weights, and admit jobs again."""
         outputs = self.advance(now)
         self._generation += 1
         self._paused = False
         outputs.append(self.cache.clear())
-        outputs += self._fill(now)
+        outputs += self._admit_waiting(now)
         return outputs
 
-    def next_time(self) -> float | None:
-        """Return when ``advance`` has something to do next; None if never."""
+    def next_event_at(self) -> float | None:
+        """Return the time of the next event for ``advance``; None if there is none."""
         times = [decoding.next_at for decoding in self._queues.decoding.values()]
         if self._queues.prefill is not None:
             times.append(self._queues.prefill.ends_at)
@@ -170,9 +177,9 @@
         return min(times, default=None)
 
     def advance(self, now: float) -> list[Output]:
-        """Carry out all that is due by ``now``, in order of time."""
+        """Process all events that are due by ``now``, in order of time."""
         outputs: list[Output] = []
-        while (due := self.next_time()) is not None and due <= now:
+        while (due := self.next_event_at()) is not None and due <= now:
             outputs += self._step(due)
         return outputs
 
@@ -186,21 +193,21 @@
             outputs += self._end_prefill(prefill, due)
         for decoding in list(self._queues.decoding.values()):
             if decoding.next_at <= due:
-                outputs += self._emit(decoding)
-        outputs += self._fill(due)
+                outputs += self._emit_token(decoding)
+        outputs += self._admit_waiting(due)
         return outputs
 
     def _end_prefill(self, prefill: _Prefill, now: float) -> list[Output]:
         job = prefill.job
         self._queues.prefill = None
         self._queues.decoding[job.job_id] = _Decoding(job, now + self._cfg.decode_s)
-        # What older weights computed must not enter the cache of newer ones.
+        # KV cache that old weights computed is invalid under the new ones.
         if prefill.generation != self._generation:
             return []
         change = self.cache.store(job.pieces, job.root, now)
         return [change] if change.stored or change.removed else []
 
-    def _emit(self, decoding: _Decoding) -> list[Output]:
+    def _emit_token(self, decoding: _Decoding) -> list[Output]:
         job = decoding.job
         outputs: list[Output] = [Token(job.job_id, decoding.emitted)]
         decoding.emitted += 1
@@ -210,21 +217,23 @@
             outputs.append(Finished(job.job_id))
         return outputs
 
-    def _fill(self, now: float) -> list[Output]:
+    def _admit_waiting(self, now: float) -> list[Output]:
         queues = self._queues
         while (
             queues.waiting and not self._paused and self.running < self._cfg.max_batch
         ):
             queues.admitted.append(heapq.heappop(queues.waiting)[2])
         if self.running > self._cfg.max_batch:
-            raise InvariantError(f"{self.running} jobs run in one batch")
+            raise InvariantError(
+                f"{self.running} jobs run in a batch of at most {self._cfg.max_batch}"
+            )
         if queues.prefill is None and queues.admitted:
             return self._begin_prefill(queues.admitted.popleft(), now)
         return []
 
     def _begin_prefill(self, job: Job, now: float) -> list[Output]:
         matched = self.cache.match(job.pieces, now)
-        # The last token is always computed: it yields the first one of the answer.
+        # The last prompt token is always computed, as it yields the first answer token.
         cached = max(0, min(matched, job.prompt_tokens - 1))
         seconds = (job.prompt_tokens - cached) / self._cfg.prefill_tps
         self._queues.prefill = _Prefill(job, now + seconds, self._generation)
--- a/gooseberrydale/example/engine_app.py
+++ b/gooseberrydale/example/engine_app.py
@@ -1,6 +1,6 @@
-"""HTTP interface of the example engine, as docs/design/upstream-interface.md has it.
+"""HTTP interface of the example engine, specified in docs/design/upstream-interface.md.
 
-Lives as long as its process: the app's lifespan starts and closes the engine.
+The lifespan of the ASGI app starts and closes the engine.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class EngineApp:
-    """The handlers around one engine."""
+    """HTTP handlers of one engine."""
 
     def __init__(self, cfg: HostCfg) -> None:
         self._host = EngineHost(cfg, uuid.uuid4().hex)
@@ -69,7 +69,7 @@
         return await complete(self._host, req)
 
     async def health(self, _req: Request) -> Response:
-        """Say who this is and whether it takes work."""
+        """Return the incarnation, the weights and whether the engine accepts work."""
         host = self._host
         return json_response(
             {
@@ -81,20 +81,20 @@
         )
 
     async def load(self, _req: Request) -> Response:
-        """Report the load as of a moment ago, and the requests that are open now."""
+        """Return the delayed load sample, and the requests that are open now."""
         host = self._host
         load = dataclasses.asdict(host.load)
         return json_response({**load, "requests": host.open_requests})
 
     async def cache_events(self, _req: Request) -> Response:
-        """Stream the cache events from now on."""
+        """Stream the cache events that are published from now on."""
         return StreamingResponse(self._events(), media_type="text/event-stream")
 
     async def _events(self) -> AsyncIterator[bytes]:
         queue = self._host.subscribe()
         try:
-            # Sends the header at once, so that the subscriber knows when to read
-            # the snapshot.
+            # This comment line sends the response head immediately.  Once it arrives,
+            # the subscription exists and the snapshot can be read.
             yield b": subscribed\n\n"
             while True:
                 event = await queue.get()
@@ -103,7 +103,7 @@
             self._host.unsubscribe(queue)
 
     async def cache_snapshot(self, _req: Request) -> Response:
-        """Return the exact keys and the number of the last change."""
+        """Return the cached keys and the sequence number of the last change."""
         host = self._host
         return json_response(
             {
@@ -114,19 +114,19 @@
         )
 
     async def orders(self, req: Request) -> Response:
-        """Carry out an order; answers when it is done."""
+        """Execute an order; answer once it has been executed."""
         try:
             order = msgspec.json.decode(await req.body(), type=Order)
         except msgspec.MsgspecError as exc:
             return problem_response(problem(INVALID_FIELD, reason=exc))
-        # One at a time: the gate is passed in the order of the loads.
+        # Executes orders one at a time, in the order in which the gate accepts them.
         async with self._loading:
-            taken = self._gate.take(order)
-            if isinstance(taken, Err):
-                return problem_response(taken.err_value)
-            if taken.ok_value and order.kind is OrderKind.LOAD_WEIGHTS:
+            decision = self._gate.accept(order)
+            if isinstance(decision, Err):
+                return problem_response(decision.err_value)
+            if decision.ok_value and order.kind is OrderKind.LOAD_WEIGHTS:
                 return await self._load_weights(order)
-            self._gate.done()
+            self._gate.mark_executed()
         return json_response({})
 
     async def _load_weights(self, order: Order) -> Response:
@@ -138,7 +138,7 @@
             host.resume()
             return problem_response(problem(WEIGHTS_NOT_LOADED, reason=exc))
         host.replace_weights(order.model or host.model, order.version)
-        self._gate.done()
+        self._gate.mark_executed()
         return json_response({})
 
     async def _fetch_weights(self, order: Order) -> None:
@@ -154,13 +154,13 @@
             await client.get(url, timeouts=timeouts)
 
     async def record(self, _req: Request) -> Response:
-        """Return every request that came here and what became of it."""
+        """Return the requests that the engine received, with their states."""
         host = self._host
         return json_response(
             {
                 "incarnation": host.incarnation,
                 "requests": list(host.record),
-                "orders": self._gate.taken,
+                "orders": self._gate.accepted,
             }
         )
 
--- a/gooseberrydale/example/engine_host.py
+++ b/gooseberrydale/example/engine_host.py
@@ -1,8 +1,8 @@
 """Runs the engine model on the clock of the event loop.
 
-One task advances the model whenever something is due and hands what happened to the
-queue of each request, to the subscribers of cache events and to the record.  Owns
-all state of one example engine; lives as long as its process.
+One task advances the model whenever an event is due.  The results go to the output
+queue of each request, to the subscribers of cache events and into the record of
+requests.  A process has one host, which owns all state of its example engine.
 """
 
 from __future__ import annotations
@@ -26,18 +26,18 @@
 from gooseberrydale.example.prefix_cache import CacheChange
 from gooseberrydale.example.prompts import Prompt
 
-RECORD_ENTRIES = 200_000
-SUBSCRIBER_EVENTS = 10_000
+MAX_RECORDS = 200_000
+MAX_QUEUED_EVENTS = 10_000
 
 
 @dataclass(frozen=True, slots=True)
 class HostCfg:
-    """Everything that an example engine may be told.
+    """Settings of an example engine.
 
-    ``load_lag_s`` is the age of the load that is reported at most; ``load_s`` the
-    time that new weights take when no weight store is named.  ``kv_store`` and
-    ``weight_store`` are base URLs.  ``transfer_tps`` is the rate of KV export and
-    import in tokens a second.
+    ``load_lag_s`` delays the reported load: each sample is shown after that time.
+    ``load_s`` is the time to load new weights if no ``weight_store`` is set.
+    ``kv_store`` and ``weight_store`` are base URLs.  ``transfer_tps`` is the rate of
+    KV export and import in tokens per second.
     """
 
     model: str = "example"
@@ -56,10 +56,11 @@
 
 @dataclass(slots=True)
 class RunRecord:
-    """What became of one request; ``state`` is the last one reached.
+    """The history of one request.
 
-    ``started_at`` is the wall time at which the engine took the request in, in
-    seconds since the epoch, so that other processes can compare it with theirs.
+    ``state`` is waiting, running, finished or cancelled.  ``started_at`` is the wall
+    time at which the engine accepted the request, in seconds since the epoch, so that
+    other processes can compare it with their own clocks.
     """
 
     request_id: str
@@ -75,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """The load at one instant."""
+    """The load of an engine at one instant."""
 
     running: int
     waiting: int
@@ -86,14 +87,14 @@
 
 @dataclass(slots=True)
 class _Run:
-    """One request at work: its record, and its outputs as they happen."""
+    """A request that has not ended: its record and the queue of its outputs."""
 
     record: RunRecord
     outputs: asyncio.Queue[Started | Token | Finished]
 
 
 class EngineHost:
-    """One engine; ``start`` before use, ``close`` at the end."""
+    """Runs one engine between ``start`` and ``close``."""
 
     def __init__(self, cfg: HostCfg, incarnation: str) -> None:
         self.cfg = cfg
@@ -102,7 +103,7 @@
         self.model = cfg.model
         self.ready = True
         self.engine = Engine(cfg.engine)
-        self.record: deque[RunRecord] = deque(maxlen=RECORD_ENTRIES)
+        self.record: deque[RunRecord] = deque(maxlen=MAX_RECORDS)
         self.load = LoadReport(0, 0, 0, cfg.engine.prefill_tps, 0)
         self.feed = CacheFeed(cfg.feed, incarnation, random.Random(cfg.seed))
         self._subscribers: set[asyncio.Queue[CacheEvent]] = set()
@@ -125,7 +126,7 @@
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
     def submit(self, prompt: Prompt, request_id: str, attempt: str, path: str) -> int:
-        """Take a request in; return the id of its job."""
+        """Submit a request to the engine; return the id of its job."""
         self._next_job += 1
         body = prompt.body
         record = RunRecord(
@@ -151,11 +152,11 @@
         return job.job_id
 
     def outputs(self, job_id: int) -> asyncio.Queue[Started | Token | Finished]:
-        """Return the queue that gets what happens to a job."""
+        """Return the queue that receives the outputs of a job."""
         return self._runs[job_id].outputs
 
-    def finish(self, job_id: int) -> None:
-        """Forget a request; one that has not ended is cancelled."""
+    def release(self, job_id: int) -> None:
+        """Release a request, and cancel its job if that has not finished."""
         run = self._runs.pop(job_id, None)
         if run is None or run.record.state == "finished":
             return
@@ -164,34 +165,34 @@
 
     @property
     def open_requests(self) -> list[tuple[str, str]]:
-        """Id and attempt of every request that was taken in and has not ended."""
+        """Id and attempt of every request that was submitted and not released."""
         records = (run.record for run in self._runs.values())
         return [(record.request_id, record.attempt) for record in records]
 
     def pause(self) -> None:
-        """Admit no further job and report not ready until weights are in force."""
+        """Admit no job, and report not ready, until ``resume`` or new weights."""
         self.ready = False
         self.engine.pause()
 
     def replace_weights(self, model: str, version: str) -> None:
-        """Put new weights in force; the cache goes with the old ones."""
+        """Switch to new weights and clear the cache, which belongs to the old ones."""
         self.model = model
         self.weights_version = version
         self.ready = True
         self._deliver(self.engine.replace_weights(self.now()))
 
     def resume(self) -> None:
-        """Go on with the weights and the cache as they were."""
+        """Admit jobs again with unchanged weights and cache."""
         self.ready = True
         self._deliver(self.engine.resume(self.now()))
 
     def publish(self, change: CacheChange) -> None:
-        """Announce a change of the cache that no request made."""
+        """Publish a change of the cache that no request caused."""
         self._deliver([change])
 
     def subscribe(self) -> asyncio.Queue[CacheEvent]:
-        """Return a queue that gets the cache events from now on."""
-        queue: asyncio.Queue[CacheEvent] = asyncio.Queue(SUBSCRIBER_EVENTS)
+        """Return a queue that receives all cache events sent from now on."""
+        queue: asyncio.Queue[CacheEvent] = asyncio.Queue(MAX_QUEUED_EVENTS)
         self._subscribers.add(queue)
         return queue
 
@@ -200,14 +201,14 @@
         self._subscribers.discard(queue)
 
     def now(self) -> float:
-        """Return the time of the loop in seconds."""
+        """Return the time of the event loop in seconds."""
         return asyncio.get_running_loop().time()
 
     async def _advance(self) -> None:
         while True:
             self._deliver(self.engine.advance(self.now()))
             self._wake.clear()
-            due = self.engine.next_time()
+            due = self.engine.next_event_at()
             wait = None if due is None else max(0.0, due - self.now())
             try:
                 await asyncio.wait_for(self._wake.wait(), wait)
@@ -224,19 +225,19 @@
                 prefill_tps=self.cfg.engine.prefill_tps,
                 cached_blocks=len(engine.cache),
             )
-            # Shown only after the lag: what a caller reads is always that old.
+            # Published only after the lag, as real engines report an outdated load.
             await asyncio.sleep(self.cfg.load_lag_s)
             self.load = sample
 
     def _deliver(self, outputs: list[Output]) -> None:
         for output in outputs:
             if isinstance(output, CacheChange):
-                self._announce(output)
+                self._publish_change(output)
             elif output.job_id in self._runs:
-                self._hand_over(self._runs[output.job_id], output)
+                self._record_output(self._runs[output.job_id], output)
         self._wake.set()
 
-    def _hand_over(self, run: _Run, output: Started | Token | Finished) -> None:
+    def _record_output(self, run: _Run, output: Started | Token | Finished) -> None:
         if isinstance(output, Started):
             run.record.state = "running"
             run.record.cached_tokens = output.cached_tokens
@@ -246,12 +247,12 @@
             run.record.state = "finished"
         run.outputs.put_nowait(output)
 
-    def _announce(self, change: CacheChange) -> None:
+    def _publish_change(self, change: CacheChange) -> None:
         if not change.stored and not change.removed:
             return
         loop = asyncio.get_running_loop()
         for delivery in self.feed.publish(change, loop.time()):
-            loop.call_at(delivery.due, self._send, delivery.event)
+            loop.call_at(delivery.due_at, self._send, delivery.event)
 
     def _send(self, event: CacheEvent) -> None:
         for queue in self._subscribers:
--- a/gooseberrydale/example/http_json.py
+++ b/gooseberrydale/example/http_json.py
@@ -1,4 +1,4 @@
-"""JSON answers of the example apps."""
+"""Builds the JSON responses of the example apps."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 def json_response(content: Any, status: int = 200) -> Response:
-    """Return any data that msgspec can encode as an answer."""
+    """Return a JSON response with any content that msgspec can encode."""
     return Response(msgspec.json.encode(content), status, media_type=JSON_TYPE)
 
 
 def problem_response(refusal: Problem) -> Response:
-    """Return a refusal in the shape that OpenAI's interface has for errors."""
+    """Return a refusal as an error object of the OpenAI API."""
     error = {"code": refusal.code, "message": refusal.message}
     response = json_response({"error": error}, refusal.status)
     if refusal.retry_after_s is not None:
--- a/gooseberrydale/example/kv_store_app.py
+++ b/gooseberrydale/example/kv_store_app.py
@@ -1,6 +1,7 @@
-"""A small store of kept KV cache, addressed by root and key.
+"""A store of KV cache pieces, addressed by root and key.
 
-Lives as long as its process and keeps everything in memory, bounded in entries.
+The root is the value that the key was derived from, such as a salt of the workspace and
+weights.  Pieces are held in memory, and their number is limited.
 """
 
 from __future__ import annotations
@@ -15,42 +16,42 @@
 
 from gooseberrydale.example.http_json import JSON_TYPE, json_response
 
-KEPT_ENTRIES = 100_000
+MAX_ENTRIES = 100_000
 
 
 class KvStore:
-    """Kept pieces; the one put first goes first."""
+    """Stored pieces by key; the oldest is evicted first."""
 
-    def __init__(self, entries: int = KEPT_ENTRIES) -> None:
-        self._limit = entries
-        self._kept: OrderedDict[str, tuple[str, bytes]] = OrderedDict()
+    def __init__(self, entries: int = MAX_ENTRIES) -> None:
+        self._max_entries = entries
+        self._pieces: OrderedDict[str, tuple[str, bytes]] = OrderedDict()
 
     async def serve(self, req: Request) -> Response:
-        """Serve PUT, GET and HEAD of one piece."""
+        """Handle PUT, GET and HEAD of one piece."""
         root, key = req.path_params["root"], req.path_params["key"]
         if req.method == "PUT":
             return self._put(root, key, await req.body())
-        kept = self._kept.get(key)
-        if kept is None:
+        piece = self._pieces.get(key)
+        if piece is None:
             return json_response({"error": "no such key"}, 404)
-        if kept[0] != root:
-            return json_response({"error": "kept under another root"}, 409)
-        return Response(kept[1], media_type=JSON_TYPE)
+        if piece[0] != root:
+            return json_response({"error": "stored under another root"}, 409)
+        return Response(piece[1], media_type=JSON_TYPE)
 
     def _put(self, root: str, key: str, data: bytes) -> Response:
-        self._kept[key] = (root, data)
-        while len(self._kept) > self._limit:
-            self._kept.popitem(last=False)
+        self._pieces[key] = (root, data)
+        while len(self._pieces) > self._max_entries:
+            self._pieces.popitem(last=False)
         return json_response({}, 201)
 
     async def record(self, _req: Request) -> Response:
-        """Return the kept keys and their roots."""
-        kept: dict[str, Any] = {key: root for key, (root, _) in self._kept.items()}
-        return json_response(kept)
+        """Return the stored keys and their roots."""
+        roots: dict[str, Any] = {key: root for key, (root, _) in self._pieces.items()}
+        return json_response(roots)
 
 
-def kv_store_app(entries: int = KEPT_ENTRIES) -> Starlette:
-    """Return the app of one store."""
+def kv_store_app(entries: int = MAX_ENTRIES) -> Starlette:
+    """Return the app of a store of at most ``entries`` pieces."""
     store = KvStore(entries)
     path = "/kv/{root}/{key}"
     return Starlette(
--- a/gooseberrydale/example/orders.py
+++ b/gooseberrydale/example/orders.py
@@ -1,6 +1,7 @@
-"""Orders to an example engine, with or without a check of their fencing number.
+"""Decides which orders an example engine executes, by their fencing numbers.
 
-Pure; lives as long as one engine.
+Engines with and without a check of the fencing number can be simulated.  Each engine
+has one gate; it does no I/O.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class OrderKind(StrEnum):
-    """What an order asks for."""
+    """What an order makes the engine do."""
 
     LOAD_WEIGHTS = "load_weights"
     LOAD_ADAPTER = "load_adapter"
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """One order; ``number`` is its fencing number."""
+    """An order to the engine; ``number`` is its fencing number."""
 
     number: int
     kind: OrderKind
@@ -32,23 +33,23 @@
 
 
 class OrderGate:
-    """Remembers the newest order and refuses older ones if told to check."""
+    """Stores the newest order; refuses older ones if ``checks_fencing`` is set."""
 
     def __init__(self, *, checks_fencing: bool) -> None:
-        self._checks = checks_fencing
+        self._checks_fencing = checks_fencing
         self._newest: Order | None = None
-        self._carried_out = False
-        self.taken: list[Order] = []
+        self._executed = False
+        self.accepted: list[Order] = []
 
-    def take(self, order: Order) -> Result[bool, Problem]:
-        """Return whether the order is to be carried out; False if it was already.
+    def accept(self, order: Order) -> Result[bool, Problem]:
+        """Return whether to execute the order; False if it was executed already.
 
-        Two different orders under one number are as stale as an old number.
+        A different order with the number of the newest one is refused as stale, too.
         """
         newest = self._newest
-        if self._checks and newest is not None:
+        if self._checks_fencing and newest is not None:
             if order == newest:
-                return Ok(not self._carried_out)
+                return Ok(not self._executed)
             if order.number <= newest.number:
                 return Err(
                     problem(
@@ -58,10 +59,10 @@
                     )
                 )
         self._newest = order
-        self._carried_out = False
-        self.taken.append(order)
+        self._executed = False
+        self.accepted.append(order)
         return Ok(True)
 
-    def done(self) -> None:
-        """Note that the newest order was carried out."""
-        self._carried_out = True
+    def mark_executed(self) -> None:
+        """Record that the newest order was executed."""
+        self._executed = True
--- a/gooseberrydale/example/prompts.py
+++ b/gooseberrydale/example/prompts.py
@@ -1,8 +1,8 @@
-"""Request bodies of the example engine, checked and brought to one form.
+"""Validates the request bodies of the example engine and normalizes them.
 
-Both kinds of completion become a :class:`Prompt`.  A resumed request is brought
-back to its original prompt, since the answer depends on that.  Pure; lives for one
-request.
+Chat and text completions both become a :class:`Prompt`.  For a resumed request the
+original prompt is restored, since the answer depends on it.  The functions here are
+pure.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionBody:
-    """The fields of a completion that the engine reads; others are ignored."""
+    """The fields of a completion request that the engine reads; others are ignored."""
 
     model: str = ""
     messages: list[_Message] | None = None
@@ -66,17 +66,18 @@
 
     @property
     def include_usage(self) -> bool:
-        """Whether a stream ends with a chunk that carries the usage."""
+        """Whether the stream ends with a chunk that contains the usage."""
         return self.stream_options is not None and self.stream_options.include_usage
 
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What the engine works on.
+    """A validated request.
 
-    ``emitted`` is the part of the answer that the caller already has, ``tokens``
-    the length of the prompt with it; the answer goes on for ``answer_tokens``, from
-    token ``first_index`` on.  ``natural_end`` says whether it ends by itself.
+    ``emitted`` is the text of the answer that the caller already has; ``tokens`` is the
+    length of the prompt including that text.  The engine generates ``answer_tokens``
+    tokens, starting with token ``first_index`` of the answer.  ``natural_end`` is False
+    if a token limit of the request ends the answer.
     """
 
     digest: bytes
@@ -89,7 +90,7 @@
 
 
 def parse_prompt(data: bytes, *, chat: bool) -> Result[Prompt, Problem]:
-    """Return the prompt in a request body, or why there is none."""
+    """Return the prompt in a request body, or the problem if the body is invalid."""
     try:
         body = msgspec.json.decode(data, type=CompletionBody)
     except msgspec.MsgspecError as exc:
@@ -100,7 +101,9 @@
     original, emitted, length = parts.ok_value
     digest = prompt_digest(original)
     if not is_prefix(digest, emitted):
-        return _invalid("the answer so far is not how the answer begins")
+        return _invalid(
+            "the text to continue is not the start of the answer to this prompt"
+        )
     return Ok(_prompt(body, digest, emitted, length))
 
 
@@ -119,10 +122,10 @@
     )
 
 
-_Parts = Result[tuple[bytes, str, int], Problem]
+_ParsedParts = Result[tuple[bytes, str, int], Problem]
 
 
-def _chat_parts(body: CompletionBody) -> _Parts:
+def _chat_parts(body: CompletionBody) -> _ParsedParts:
     if not body.messages:
         return _invalid("'messages' is missing")
     messages, emitted = body.messages, ""
@@ -135,16 +138,18 @@
     return Ok((msgspec.json.encode(pairs), emitted, length))
 
 
-def _text_parts(body: CompletionBody) -> _Parts:
+def _text_parts(body: CompletionBody) -> _ParsedParts:
     if body.prompt is None:
         return _invalid("'prompt' is missing or not one string")
     data = body.prompt.encode()
-    cut = body.continue_from_bytes
-    if cut is None:
+    prompt_bytes = body.continue_from_bytes
+    if prompt_bytes is None:
         return Ok((data, "", len(data)))
-    if not 0 <= cut <= len(data):
+    if not 0 <= prompt_bytes <= len(data):
         return _invalid("'continue_from_bytes' is not within the prompt")
-    return Ok((data[:cut], data[cut:].decode(errors="replace"), len(data)))
+    return Ok(
+        (data[:prompt_bytes], data[prompt_bytes:].decode(errors="replace"), len(data))
+    )
 
 
 def _invalid(reason: str) -> Err[Problem]:
--- a/gooseberrydale/example/service_app.py
+++ b/gooseberrydale/example/service_app.py
@@ -1,7 +1,7 @@
-"""A plain service whose calls, such as bids, may not be repeated.
+"""An example service whose calls, such as bids, may not be repeated.
 
-It runs whatever comes and keeps a record of every run, so that a test can tell
-whether one ran twice.  Lives as long as its process.
+It runs every call and records each run, so that a test can detect a call that ran
+twice.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class ServiceRun:
-    """One run of one call; ``finished`` tells whether its answer was made."""
+    """One run of a call; ``finished`` is set once its answer is ready."""
 
     run: int
     method: str
@@ -35,7 +35,7 @@
 
 
 class Service:
-    """Runs calls after ``delay_s`` seconds and records them."""
+    """Records each call and answers it after ``delay_s`` seconds."""
 
     def __init__(self, delay_s: float) -> None:
         self._delay_s = delay_s
@@ -43,7 +43,7 @@
         self._runs: list[ServiceRun] = []
 
     async def serve(self, req: Request) -> Response:
-        """Run one call; the run counts from here on, whether or not it ends."""
+        """Run one call; the run is recorded at its start, even if it never finishes."""
         body = await req.body()
         run = ServiceRun(
             run=len(self._runs) + 1,
@@ -59,11 +59,11 @@
         return json_response(run)
 
     async def health(self, _req: Request) -> Response:
-        """Say who this is."""
+        """Return the incarnation of the service; it is always ready."""
         return json_response({"incarnation": self._incarnation, "ready": True})
 
     async def record(self, _req: Request) -> Response:
-        """Return every run."""
+        """Return all recorded runs."""
         return json_response({"incarnation": self._incarnation, "runs": self._runs})
 
 
--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measures of the router against real processes; not shipped with the product."""
+"""Measurements of the router with real processes; not shipped with the product."""
--- a/measure/deployments.py
+++ b/measure/deployments.py
@@ -1,8 +1,9 @@
-"""The two example deployments, at the sizes of today, as loads and flags.
+"""The two example deployments at their present sizes: processes, flags and loads.
 
-Engines are stand-ins: their prefill and decode rates and cache sizes are chosen so
-that all engines' memory together holds about what is in use, and one engine's does
-not.  Processes share one machine: zones differ in name only.
+All engines are instances of the example engine.  Their cache sizes are such that all of
+them together can hold about all prefixes in use, while a single one cannot, so that the
+placement of requests matters.  All processes share one machine, so zones differ only in
+name.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """A deployment: its pools, zones and load; ``cache_tokens`` are one engine's."""
+    """A deployment: its pools, zones and load; ``cache_tokens`` is per engine."""
 
     name: str
     zones: tuple[str, ...]
@@ -50,7 +51,7 @@
             "--load-lag-s": LOAD_LAG_S,
             "--seed": number,
         }
-        return tuple(str(part) for pair in flags.items() for part in pair)
+        return tuple(str(item) for flag in flags.items() for item in flag)
 
 
 FRASERLINE = Deployment(
--- a/measure/direct.py
+++ b/measure/direct.py
@@ -1,6 +1,7 @@
-"""Bodies for engines that are asked directly, without the router.
+"""Builds request bodies for engines that are called directly, without the router.
 
-They carry what a sidecar would add: the cache root and the keyed pieces.
+They contain the fields that a sidecar would add: the cache root and the prompt pieces
+with their cache keys.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
     piece_key,
     prompt_pieces,
 )
-from measure.workload import Ask
+from measure.workload import PromptRequest
 
 
-def direct_body(ask: Ask) -> bytes:
-    """Return the body with the extensions of the upstream interface."""
-    body = ask.body("example")
-    root = cache_root(str(ask.workspace), "example", "1")
+def direct_body(request: PromptRequest) -> bytes:
+    """Return the body of a request with the extensions of the upstream interface."""
+    body = request.body("example")
+    root = cache_root(str(request.workspace), "example", "1")
     pieces = prompt_pieces(CHAT_PATH, body)
     body["cache_salt"] = root.hex()
     body["kv_pieces"] = [
--- a/measure/fit.py
+++ b/measure/fit.py
@@ -1,4 +1,4 @@
-"""Straight lines through measured points, and how well they fit.  Pure."""
+"""Fits straight lines to measured points and rates the fit; does no I/O."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 class Line:
     """``y = intercept + slope * x``.
 
-    ``r2`` is the share of the variance that the line explains; ``low`` and ``high``
-    are the least and greatest slope with one of the points left out.
+    ``r2`` is the coefficient of determination.  ``low`` and ``high`` are the least and
+    greatest slopes of the fits that leave out one of the points.
     """
 
     slope: float
@@ -23,19 +23,19 @@
 
 
 def fit(xs: Sequence[float], ys: Sequence[float]) -> Line:
-    """Return the least-squares line; raises ValueError under three sizes."""
+    """Return the least-squares line; raise ValueError for under three distinct x."""
     if len(set(xs)) < 3:
-        raise ValueError("a line needs points at three sizes at least")
+        raise ValueError("a fit needs points at three or more distinct sizes")
     slope, intercept = statistics.linear_regression(xs, ys)
-    without_one = [
-        statistics.linear_regression(_without(xs, i), _without(ys, i)).slope
+    partial_slopes = [
+        statistics.linear_regression(_drop_index(xs, i), _drop_index(ys, i)).slope
         for i in range(len(xs))
     ]
-    low, high = min(without_one), max(without_one)
+    low, high = min(partial_slopes), max(partial_slopes)
     return Line(slope, intercept, _r2(xs, ys, slope, intercept), low, high)
 
 
-def _without(values: Sequence[float], index: int) -> list[float]:
+def _drop_index(values: Sequence[float], index: int) -> list[float]:
     return [value for i, value in enumerate(values) if i != index]
 
 
@@ -44,5 +44,5 @@
 ) -> float:
     mean = statistics.fmean(ys)
     total = sum((y - mean) ** 2 for y in ys)
-    left = sum((y - intercept - slope * x) ** 2 for x, y in zip(xs, ys))
-    return 1.0 - left / total if total else 1.0
+    residual = sum((y - intercept - slope * x) ** 2 for x, y in zip(xs, ys))
+    return 1.0 - residual / total if total else 1.0
--- a/measure/report.py
+++ b/measure/report.py
@@ -1,4 +1,4 @@
-"""What every report of a measure says about its run."""
+"""Helpers for reports: the commit that was measured, and writing into a page."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 
 
 @functools.cache
-def commit() -> str:
-    """Return the commit that runs, marked if the tree was changed.
+def commit_id() -> str:
+    """Return the checked-out commit, marked as dirty if the tree was changed.
 
-    It is read once: call it before the measure, as the tree may change meanwhile.
+    The result is cached.  Call this before a measurement, as the tree may change while
+    it runs.
     """
-    done = subprocess.run(
+    result = subprocess.run(
         ["git", "describe", "--always", "--dirty"], capture_output=True, text=True
     )
-    return done.stdout.strip()
+    return result.stdout.strip()
 
 
 BEGIN, END = "<!-- measured: begin -->\n", "<!-- measured: end -->\n"
 
 
-def write_into(page: pathlib.Path, text: str) -> None:
-    """Put ``text`` between the two marks of a page in place of what is there."""
+def write_section(page: pathlib.Path, text: str) -> None:
+    """Replace the text between the two markers of a page with ``text``."""
     before, rest = page.read_text().split(BEGIN)
     after = rest.split(END)[1]
     page.write_text(f"{before}{BEGIN}\n{text}\n{END}{after}")
--- a/measure/site.py
+++ b/measure/site.py
@@ -1,7 +1,8 @@
-"""Runs a deployment's processes for a measure and drives them.
+"""Starts and controls the processes of a deployment for a measurement.
 
-One site serves many runs: between runs only the entries are started anew, with
-another policy.  The texts of each run differ, so no run finds another's cache.
+One site is used for many runs.  Between runs only the entries are restarted, with
+another policy.  The texts of each run differ, so that no run uses prefixes that an
+earlier one cached.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from measure.workload import WORKSPACE_WEIGHTS
 from tests.fleet import UPSTREAM_HTTP, Fleet, UpstreamSpec, key_digest, wait_for_port
 
-SETTLE_S = 1.5
-READ_S = 10.0
+DISCOVERY_DELAY_S = 1.5
+READ_TIMEOUT_S = 10.0
 CONTROLS = 3
 KV_STORE_HOST, KV_STORE_PORT = "kv-store", 9100
 ENGINE_PROFILE, SERVICE_PROFILE = "answers", "bids"
@@ -27,9 +28,9 @@
 
 
 class Site:
-    """The processes of one deployment; ``direct`` leaves out the router's own.
+    """The processes of one deployment; ``direct`` omits those of the router.
 
-    ``engine_flags`` come after the deployment's own and so go before them.
+    ``engine_flags`` are added after the flags of the deployment and so override them.
     """
 
     def __init__(
@@ -47,11 +48,11 @@
         self._keys = tuple(
             f"key-of-workspace-{i}" for i in range(len(WORKSPACE_WEIGHTS))
         )
-        self._seen: dict[str, int] = {}
+        self._entries_read: dict[str, int] = {}
         self.engines = [f"engine-{i + 1}" for i in range(deployment.engines)]
         self.services = [f"service-{i + 1}" for i in range(deployment.services)]
         if not direct:
-            # All settings list both, whichever is written first.
+            # Set before the entries are added: all settings list the control replicas.
             self.fleet.controls = [f"control-{i + 1}" for i in range(CONTROLS)]
             self.fleet.add_entries(deployment.entries)
             self.fleet.add_controls(CONTROLS, loads_at_once=deployment.loads_at_once)
@@ -83,7 +84,7 @@
             self.fleet.add_upstream(spec)
 
     def start(self) -> None:
-        """Start everything; call ``use_policy`` before the first load."""
+        """Start all processes; call ``use_policy`` before the first load."""
         if self.direct:
             self._start_upstreams()
         else:
@@ -99,24 +100,24 @@
                 process.start()
 
     def use_policy(self, policy: str) -> None:
-        """Start the entries anew with another policy; wait until all can route."""
+        """Restart the entries with another policy; wait until all can route."""
         for name in self.fleet.entries:
             self.fleet.processes[name].kill()
         self.fleet.add_entries(self.deployment.entries, policy=policy)
         for name in self.fleet.entries:
             self.fleet.processes[name].start()
         self.fleet.wait_ready(len(self.engines) + len(self.services))
-        # Ready means able to serve; what each entry knows may still grow.
-        time.sleep(SETTLE_S)
+        # A ready entry can serve, but it may not have received all announcements yet.
+        time.sleep(DISCOVERY_DELAY_S)
 
     def restore(self) -> None:
-        """Start again whatever a failure has ended."""
+        """Restart the processes that a failure ended, except entries."""
         for name, process in self.fleet.processes.items():
             if name not in self.fleet.entries and not process.running:
                 process.start()
 
     def target(self) -> Target:
-        """Return what callers need to know."""
+        """Return the addresses, profiles and keys that callers use."""
         if self.direct:
             urls = tuple(self.fleet.upstream_url(name) for name in self.engines)
         else:
@@ -124,7 +125,7 @@
         return Target(urls, ENGINE_PROFILE, SERVICE_PROFILE, self._keys, self.direct)
 
     def new_records(self) -> tuple[list[dict[str, Any]], list[dict[str, Any]]]:
-        """Return what engines and services recorded since the last call."""
+        """Return what engines and services have recorded since the last call."""
         engines = [self._new_record(name, "requests") for name in self.engines]
         services = [self._new_record(name, "runs") for name in self.services]
         return engines, services
@@ -133,15 +134,15 @@
         try:
             record = _get(f"{self.fleet.upstream_url(name)}/record")
         except httpx2.HTTPError:
-            # Ended by a failure; its record went with it.
+            # A failure ended the upstream, and its record was lost with it.
             return {field: []}
         entries = record[field]
-        seen = self._seen.get(record["incarnation"], 0)
-        self._seen[record["incarnation"]] = len(entries)
-        return {**record, field: entries[seen:]}
+        entries_read = self._entries_read.get(record["incarnation"], 0)
+        self._entries_read[record["incarnation"]] = len(entries)
+        return {**record, field: entries[entries_read:]}
 
     def close(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.fleet.close()
 
     def _declare(self) -> None:
@@ -168,4 +169,4 @@
 
 
 def _get(url: str) -> Any:
-    return httpx2.get(url, timeout=READ_S, trust_env=False).json()
+    return httpx2.get(url, timeout=READ_TIMEOUT_S, trust_env=False).json()
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -1,11 +1,12 @@
-"""Measures what each role spends per unit of its state and its work.
-
-``python -m measure.slopes`` runs lone role processes at several sizes and fits a
-straight line through processor time and memory.  Peers are stand-ins that speak the
-mesh (see ``stand_ins``).  A unit with a rate, such as a change, gives processor
-seconds per unit; a unit that is held, such as an upstream, gives processor seconds
-a second per unit.  Memory of a rate is what it has left behind after twelve seconds.
-docs/CAPACITY.md multiplies these slopes by the planned size.
+"""Measures the CPU time and memory of each role per unit of its state and work.
+
+``python -m measure.slopes`` runs single role processes at several sizes and fits
+straight lines to their CPU time and memory.  Their peers are fakes that only use the
+mesh protocol (see ``stand_ins``).  For a unit with a rate, such as a change, the slope
+of the CPU time is CPU seconds per unit.  For a unit of state, such as an upstream, it
+is CPU seconds per second and unit.  The memory of a rate is what has accumulated after
+twelve seconds (SETTLE_S and MEASURE_WINDOW_S).  docs/CAPACITY.md multiplies the slopes
+by the planned size.
 """
 
 from __future__ import annotations
@@ -27,18 +28,18 @@
 from gooseberrydale.example.app_server import AppServer
 from gooseberrydale.version.declarations import Workspace
 from measure.fit import Line, fit
-from measure.report import commit
+from measure.report import commit_id
 from measure.stand_in_engine import EventSource
 from measure.stand_ins import Peer, Peers, config
 from measure.subject import Subject, Usage
 from tests.fleet import FLEET_TOKEN, UPSTREAM_HTTP, key_digest
 
-SETTLE_S = 4.0
-WINDOW_S = 8.0
+SETTLE_S = 4.0  # time for the process to reach a steady state before the window
+MEASURE_WINDOW_S = 8.0
 RECORDS = 400
 WORKSPACES = 1_800
 PROFILES = 9
-BLOCKS = 30_000
+CACHED_BLOCKS = 30_000
 EVENTS_PER_S = 50
 
 Trial = Callable[[Subject, int], Coroutine[None, None, Usage]]
@@ -46,7 +47,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
-    """One unit of one role, the sizes to run, and how; a fresh process for each."""
+    """A unit of one role, the sizes to measure, and the trial to run for each size.
+
+    Each trial gets a new process.
+    """
 
     role: str
     unit: str
@@ -55,93 +59,93 @@
 
 
 async def records(subject: Subject, size: int) -> Usage:
-    """Hold ``size`` upstreams, all told by one peer, which renews their leases."""
+    """Store ``size`` upstreams, announced and renewed by one peer."""
     async with Peers(1, ENTRY_ROLE, subject.address, size):
-        return await _settled(subject)
+        return await _settled_usage(subject)
 
 
-async def copies(subject: Subject, size: int) -> Usage:
-    """Hear the same 400 upstreams from ``size`` peers, one after another."""
+async def repeated_records(subject: Subject, size: int) -> Usage:
+    """Receive the same 400 upstreams from one peer, then from ``size`` others."""
     first = Peers(1, ENTRY_ROLE, subject.address, RECORDS, "first")
     async with first, Peers(size, ENTRY_ROLE, subject.address, prefix="other"):
-        # The others get the records from the subject and so know them too.
-        return await _settled(subject)
+        # The others receive the records from the subject and then announce them too.
+        return await _settled_usage(subject)
 
 
 async def sessions(subject: Subject, size: int) -> Usage:
-    """Serve ``size`` sidecars, each with its own upstream's record."""
+    """Serve ``size`` sidecars, each of which announces its own upstream."""
     async with Peers(size, SIDECAR_ROLE, subject.address, 1):
-        return await _settled(subject)
+        return await _settled_usage(subject)
 
 
 async def workspaces(subject: Subject, size: int) -> Usage:
-    """Hold a configuration of ``size`` workspaces."""
+    """Store a configuration of ``size`` workspaces."""
     async with Peers(1, ENTRY_ROLE, subject.address) as peers:
         peers.all[0].store.offer(config(1, size, PROFILES))
-        return await _settled(subject)
+        return await _settled_usage(subject)
 
 
 async def profiles(subject: Subject, size: int) -> Usage:
-    """Hold a configuration of ``size`` profiles."""
+    """Store a configuration of ``size`` profiles."""
     async with Peers(1, ENTRY_ROLE, subject.address) as peers:
         peers.all[0].store.offer(config(1, 8, size))
-        return await _settled(subject)
+        return await _settled_usage(subject)
 
 
 async def changes(subject: Subject, size: int) -> Usage:
-    """Take ``size`` revisions in ten seconds, each of 1,800 workspaces."""
+    """Receive ``size`` revisions per ten seconds, each of 1,800 workspaces."""
     async with Peers(1, ENTRY_ROLE, subject.address) as peers:
         task = asyncio.create_task(_revise(peers.all[0], size / 10))
         try:
-            return await _settled(subject)
+            return await _settled_usage(subject)
         finally:
             task.cancel()
 
 
 async def declared_workspaces(subject: Subject, size: int) -> Usage:
-    """Hold ``size`` workspaces in the replicated state."""
+    """Store ``size`` workspaces in the replicated state."""
     await _declare(subject, size, PROFILES)
-    return await _settled(subject)
+    return await _settled_usage(subject)
 
 
 async def declared_profiles(subject: Subject, size: int) -> Usage:
-    """Hold ``size`` profiles in the replicated state."""
+    """Store ``size`` profiles in the replicated state."""
     await _declare(subject, 8, size)
-    return await _settled(subject)
+    return await _settled_usage(subject)
 
 
 async def committed_changes(subject: Subject, size: int) -> Usage:
-    """Commit ``size`` operators' changes in ten seconds over 1,800 workspaces.
+    """Commit ``size`` changes by operators per ten seconds, with 1,800 workspaces.
 
-    Each comes with a read of the whole configuration, as a careful operator does.
+    Each change reads the whole configuration first, as a careful operator does.
     """
     await _declare(subject, WORKSPACES, PROFILES)
     task = asyncio.create_task(_change(subject, size / 10))
     try:
-        return await _settled(subject)
+        return await _settled_usage(subject)
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
 
 async def claims(subject: Subject, size: int) -> Usage:
-    """Commit ``size`` claims a second."""
+    """Commit ``size`` claims per second."""
     channel = RpcChannel(subject.address, FLEET_TOKEN)
     task = asyncio.create_task(_claim(channel, size))
     try:
-        return await _settled(subject)
+        return await _settled_usage(subject)
     finally:
         task.cancel()
         await channel.close()
 
 
 async def cache_events(subject: Subject, size: int) -> Usage:
-    """Follow ``size`` cache events a second of a cache of 30,000 blocks."""
-    return await _follow(subject, EventSource(size, BLOCKS))
+    """Follow ``size`` cache events per second of a cache of 30,000 blocks."""
+    return await _follow(subject, EventSource(size, CACHED_BLOCKS))
 
 
 async def cached_blocks(subject: Subject, size: int) -> Usage:
-    """Know ``size`` cached blocks that come and go 50 a second."""
+    """Track ``size`` cached blocks, of which 50 are replaced per second."""
     return await _follow(subject, EventSource(EVENTS_PER_S, size))
 
 
@@ -149,14 +153,14 @@
     server = AppServer(source.app(), subject.upstream_host, UPSTREAM_HTTP)
     await server.start()
     try:
-        return await _settled(subject)
+        return await _settled_usage(subject)
     finally:
         await server.close()
 
 
-async def _settled(subject: Subject) -> Usage:
+async def _settled_usage(subject: Subject) -> Usage:
     await asyncio.sleep(SETTLE_S)
-    return await subject.usage(WINDOW_S)
+    return await subject.usage(MEASURE_WINDOW_S)
 
 
 async def _revise(peer: Peer, rate: float) -> None:
@@ -208,13 +212,17 @@
 
 EXPERIMENTS = (
     Experiment("entry", "upstream held", (0, 200, 400, 800), records),
-    Experiment("entry", "peer that hears 400 upstreams", (0, 2, 4, 8), copies),
+    Experiment(
+        "entry", "peer that receives 400 upstreams", (0, 2, 4, 8), repeated_records
+    ),
     Experiment("entry", "sidecar session", (0, 10, 20, 40), sessions),
     Experiment("entry", "workspace", (0, 900, 1_800, 3_600), workspaces),
     Experiment("entry", "profile", (0, 50, 100, 200), profiles),
     Experiment("entry", "change per 10 s, 1,800 workspaces", (0, 5, 10, 20), changes),
     Experiment("control", "upstream held", (0, 200, 400, 800), records),
-    Experiment("control", "peer that hears 400 upstreams", (0, 10, 20, 40), copies),
+    Experiment(
+        "control", "peer that receives 400 upstreams", (0, 10, 20, 40), repeated_records
+    ),
     Experiment("control", "sidecar session", (0, 40, 80, 160), sessions),
     Experiment("control", "claim per second", (0, 25, 50, 100), claims),
     Experiment("control", "workspace", (0, 900, 1_800, 3_600), declared_workspaces),
@@ -235,7 +243,7 @@
 def main(role: str = "", unit: str = "", repeats: int = 1) -> None:
     """Run the experiments (of one role or unit if given) and print the fits."""
     chosen = [e for e in EXPERIMENTS if role in e.role and unit in e.unit]
-    commit()
+    commit_id()
     began = time.monotonic()
     lines = [
         "| role | unit | sizes | CPU ms/s per unit | CPU fit R² | RSS kB per unit |"
@@ -246,8 +254,8 @@
         lines.append(_measure(experiment, repeats))
         print(lines[-1], flush=True)
     print(
-        f"\nCommit {commit()}; slope (least–greatest with one point left out);"
-        f" {WINDOW_S:g} s a point, {repeats} points a size; took"
+        f"\nCommit {commit_id()}; slope (least–greatest with one point left out);"
+        f" {MEASURE_WINDOW_S:g} s a point, {repeats} points a size; took"
         f" {time.monotonic() - began:.0f} s; load average at the end"
         f" {os.getloadavg()[0]:.1f} on {os.cpu_count()} cores.\n"
     )
@@ -256,7 +264,7 @@
 
 def _measure(experiment: Experiment, repeats: int) -> str:
     points = [
-        (size, _run(experiment, size))
+        (size, _run_trial(experiment, size))
         for _ in range(repeats)
         for size in experiment.sizes
     ]
@@ -265,19 +273,19 @@
     rss = fit(xs, [usage.rss_mb * 1e3 for _, usage in points])
     sizes = ", ".join(str(size) for size in experiment.sizes)
     return (
-        f"| {experiment.role} | {experiment.unit} | {sizes} | {_shown(cpu)}"
-        f" | {cpu.r2:.3f} | {_shown(rss)} | {rss.r2:.3f}"
+        f"| {experiment.role} | {experiment.unit} | {sizes} | {_format_slope(cpu)}"
+        f" | {cpu.r2:.3f} | {_format_slope(rss)} | {rss.r2:.3f}"
         f" | {cpu.intercept:.1f}, {rss.intercept / 1e3:.1f} |"
     )
 
 
-def _run(experiment: Experiment, size: int) -> Usage:
+def _run_trial(experiment: Experiment, size: int) -> Usage:
     with tempfile.TemporaryDirectory() as folder:
         with Subject(experiment.role, pathlib.Path(folder, "site")) as subject:
             return asyncio.run(experiment.trial(subject, size))
 
 
-def _shown(line: Line) -> str:
+def _format_slope(line: Line) -> str:
     return f"{line.slope:.4g} ({line.low:.4g}–{line.high:.4g})"
 
 
--- a/measure/slopes_path.py
+++ b/measure/slopes_path.py
@@ -1,8 +1,8 @@
-"""Measures what a request, a token and a prompt cost the entry and the sidecar.
+"""Measures the CPU time that requests and tokens cost the entry and the sidecar.
 
 ``python -m measure.slopes_path`` runs one entry, one sidecar and one fast engine,
-sends open loads at several rates, and fits processor seconds per unit.  Memory is
-not fitted here: what a request holds is gone when it ends.
+sends open-loop loads at several rates, and fits CPU seconds per unit.  Memory is not
+fitted, as a request releases its memory when it ends.
 """
 
 from __future__ import annotations
@@ -20,21 +20,28 @@
 from measure.client import Outcome
 from measure.deployments import FRASERLINE
 from measure.fit import fit
-from measure.load import router_body, run_load
-from measure.report import commit
+from measure.load import router_body_maker, run_load
+from measure.report import commit_id
 from measure.site import ENGINE_PROFILE, Site
 from measure.subject import Usage, watch
 from measure.workload import Shape
 
 ROLES = {"entry": "entry-1", "sidecar": "sidecar-engine-1"}
 LOAD_S = 10.0
-EDGE_S = 1.0
-RATE = 10.0
-# So fast that the engine never queues; its own cost is not measured here.
-FAST = ("--prefill-tps", "10000000", "--decode-s", "0.002", "--max-batch", "64")
-PLAIN = Shape(
+EDGE_TRIM_S = 1.0  # start and end of a load, in which CPU time is not measured
+PROMPTS_PER_S = 10.0
+# Fast enough that the engine never queues.  Its own CPU time is not measured.
+FAST_ENGINE_FLAGS = (
+    "--prefill-tps",
+    "10000000",
+    "--decode-s",
+    "0.002",
+    "--max-batch",
+    "64",
+)
+BASE_SHAPE = Shape(
     duration_s=LOAD_S,
-    prompts_per_s=RATE,
+    prompts_per_s=PROMPTS_PER_S,
     guide_tokens=4_000,
     lot_tokens=2_000,
     lots=1,
@@ -45,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PathExperiment:
-    """One unit, the sizes to run, the load of a size, and a size's units a second."""
+    """A unit, the sizes to measure, and the load and units per second of a size."""
 
     unit: str
     sizes: tuple[int, ...]
@@ -57,42 +64,47 @@
     PathExperiment(
         "request of 6,000 tokens, 1 token out",
         (2, 5, 10, 20),
-        lambda size: replace(PLAIN, prompts_per_s=size),
+        lambda size: replace(BASE_SHAPE, prompts_per_s=size),
         float,
     ),
     PathExperiment(
         "token out",
         (1, 4, 8, 16),
-        lambda size: replace(PLAIN, answer_tokens=size),
-        lambda size: size * RATE,
+        lambda size: replace(BASE_SHAPE, answer_tokens=size),
+        lambda size: size * PROMPTS_PER_S,
     ),
     PathExperiment(
-        # The engine may end an answer after 16 tokens, so more load is more requests.
+        # The engine may end an answer after 16 tokens, so the load is varied by the
+        # number of requests.
         "request of 6,000 tokens, 16 tokens out",
         (5, 10, 20, 40),
-        lambda size: replace(PLAIN, prompts_per_s=size, answer_tokens=16),
+        lambda size: replace(BASE_SHAPE, prompts_per_s=size, answer_tokens=16),
         float,
     ),
     PathExperiment(
         "1,000 tokens of prompt",
         (4, 8, 16, 32),
-        lambda size: replace(PLAIN, guide_tokens=size * 1_000),
-        lambda size: size * RATE,
+        lambda size: replace(BASE_SHAPE, guide_tokens=size * 1_000),
+        lambda size: size * PROMPTS_PER_S,
     ),
 )
 
 
 def main(seed: int = 1, unit: str = "") -> None:
     """Run the experiments (of one unit if given) and print the fits."""
-    commit()
-    began = time.monotonic()
-    one = replace(FRASERLINE, zones=("zone-1",), engines=1, services=0, entries=1)
+    commit_id()
+    started_at = time.monotonic()
+    deployment = replace(
+        FRASERLINE, zones=("zone-1",), engines=1, services=0, entries=1
+    )
     lines = [
         "| role | unit | sizes | CPU ms per unit | fit R² |",
         "| --- | --- | --- | --- | --- |",
     ]
     with tempfile.TemporaryDirectory() as folder:
-        site = Site(one, pathlib.Path(folder, "site"), engine_flags=FAST)
+        site = Site(
+            deployment, pathlib.Path(folder, "site"), engine_flags=FAST_ENGINE_FLAGS
+        )
         try:
             site.start()
             site.use_policy("affinity")
@@ -102,8 +114,9 @@
         finally:
             site.close()
     print(
-        f"\nCommit {commit()}; slope (least–greatest with one point left out);"
-        f" {LOAD_S - 2 * EDGE_S:g} s a point; took {time.monotonic() - began:.0f} s;"
+        f"\nCommit {commit_id()}; slope (least–greatest with one point left out);"
+        f" {LOAD_S - 2 * EDGE_TRIM_S:g} s a point;"
+        f" took {time.monotonic() - started_at:.0f} s;"
         f" load average at the end {os.getloadavg()[0]:.1f} on {os.cpu_count()}"
         " cores.\n"
     )
@@ -112,7 +125,9 @@
 
 def _measure(site: Site, experiment: PathExperiment, seed: int) -> list[str]:
     points = [
-        asyncio.run(_point(site, experiment.shape(size), f"{seed}/{experiment.unit}"))
+        asyncio.run(
+            _measure_point(site, experiment.shape(size), f"{seed}/{experiment.unit}")
+        )
         for size in experiment.sizes
     ]
     xs = [experiment.units_per_s(size) for size in experiment.sizes]
@@ -127,17 +142,22 @@
     return rows
 
 
-async def _point(site: Site, shape: Shape, seed: str) -> Sequence[Usage]:
+async def _measure_point(site: Site, shape: Shape, seed: str) -> Sequence[Usage]:
     salt = f"{seed}/{shape}"
-    body = router_body(ENGINE_PROFILE)
+    body = router_body_maker(ENGINE_PROFILE)
     load = asyncio.create_task(run_load(shape, seed, salt, site.target(), body))
-    await asyncio.sleep(EDGE_S)
+    await asyncio.sleep(EDGE_TRIM_S)
     pids = [site.fleet.processes[name].pid for name in ROLES.values()]
-    usages = await asyncio.gather(*(watch(pid, LOAD_S - 2 * EDGE_S) for pid in pids))
+    usages = await asyncio.gather(
+        *(watch(pid, LOAD_S - 2 * EDGE_TRIM_S) for pid in pids)
+    )
     result = await load
-    bad = [a for a in result.answers if a.outcome is not Outcome.WHOLE]
-    if bad:
-        raise SystemExit(f"{len(bad)} answers are not whole, first {bad[0].code!r}")
+    incomplete = [a for a in result.answers if a.outcome is not Outcome.WHOLE]
+    if incomplete:
+        raise SystemExit(
+            f"{len(incomplete)} answers are incomplete,"
+            f" the first with code {incomplete[0].code!r}"
+        )
     return usages
 
 
--- a/measure/stand_in_engine.py
+++ b/measure/stand_in_engine.py
@@ -1,4 +1,4 @@
-"""An upstream that only publishes cache events, for measures of a sidecar alone."""
+"""A fake engine that only publishes cache events, to measure a sidecar by itself."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
 
 
 class EventSource:
-    """Publishes ``rate`` events a second and holds ``blocks`` keys.
+    """Publishes ``rate`` events per second about a cache of ``blocks`` keys.
 
-    Each event stores one key and removes another, so that the cache stays as full.
+    Each event adds one key and removes another, so that the size stays the same.
     """
 
     def __init__(self, rate: float, blocks: int) -> None:
@@ -65,11 +65,11 @@
     async def _stream(self) -> AsyncIterator[bytes]:
         yield b": subscribed\n\n"
         loop = asyncio.get_running_loop()
-        began, first = loop.time(), self._seq
+        started_at, first_seq = loop.time(), self._seq
         for batch in itertools.count(1):
-            await asyncio.sleep(began + batch * BATCH_S - loop.time())
-            due = first + int(self._rate * batch * BATCH_S)
-            events = [self._next() for _ in range(due - self._seq)]
+            await asyncio.sleep(started_at + batch * BATCH_S - loop.time())
+            due_seq = first_seq + int(self._rate * batch * BATCH_S)
+            events = [self._next() for _ in range(due_seq - self._seq)]
             if events:
                 yield b"".join(events)
 
--- a/measure/stand_ins.py
+++ b/measure/stand_ins.py
@@ -1,4 +1,4 @@
-"""Peers of a role under measure that only speak the mesh: sessions and records."""
+"""Fake peers of a measured process, with mesh sessions and records only."""
 
 from __future__ import annotations
 
@@ -23,14 +23,14 @@
 
 LEASE_S = 6.0
 RENEWALS_PER_LEASE = 3
-CONNECT_BOUND_S = 30.0
-POLL_S = 0.05
+CONNECT_TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.05
 
 
 class Peer:
-    """One process of the mesh with one session to the subject.
+    """A fake mesh process with one session to the measured process.
 
-    It carries ``records`` upstreams, whose leases it renews as their sidecars would.
+    It announces ``records`` upstreams and renews their leases as sidecars would.
     """
 
     def __init__(
@@ -47,19 +47,19 @@
         self._task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Open the session and begin to renew."""
+        """Open the session and start to renew the leases."""
         await self._node.start()
         self._task = asyncio.create_task(self._renew())
         await self._client.start()
 
-    async def connected(self) -> None:
-        """Return once the subject was heard; raises TimeoutError past the bound."""
-        async with asyncio.timeout(CONNECT_BOUND_S):
+    async def wait_connected(self) -> None:
+        """Wait for the session; raise TimeoutError after CONNECT_TIMEOUT_S."""
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             while not self._client.connected:
-                await asyncio.sleep(POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def close(self) -> None:
-        """End the session."""
+        """Close the session."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -67,7 +67,7 @@
         await self._node.close()
 
     async def _renew(self) -> None:
-        """Renew the records one after the other, each a third of its lease apart."""
+        """Renew the records one after the other, each every third of its lease."""
         if not self._records:
             return
         loop = asyncio.get_running_loop()
@@ -83,7 +83,7 @@
 
 
 class Peers:
-    """Several peers, started together."""
+    """Several peers that are started and closed together."""
 
     def __init__(
         self, count: int, role: str, address: str, records: int = 0, prefix: str = "p"
@@ -94,7 +94,7 @@
         for peer in self.all:
             await peer.start()
         for peer in self.all:
-            await peer.connected()
+            await peer.wait_connected()
         return self
 
     async def __aexit__(self, *_exc: object) -> None:
@@ -120,7 +120,7 @@
 
 
 def config(revision: int, workspaces: int, profiles: int) -> Config:
-    """Return a configuration of a given size."""
+    """Return a configuration with this many workspaces and profiles."""
     return Config(
         revision=revision,
         profiles={
--- a/measure/subject.py
+++ b/measure/subject.py
@@ -1,4 +1,4 @@
-"""One role process under measure, and what it spends in a stretch of time."""
+"""The process whose CPU time and memory are measured."""
 
 from __future__ import annotations
 
@@ -24,16 +24,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """Processor time in seconds a second, and resident memory in megabytes."""
+    """CPU time in seconds per second, and resident memory in megabytes."""
 
     cpu: float
     rss_mb: float
 
 
 class Subject:
-    """A lone process of one role; use it as a context.
+    """A single process of one role; use it as a context manager.
 
-    A sidecar stands before ``upstream_host``, where the trial serves a stand-in.
+    For a sidecar, the trial serves a fake engine at ``upstream_host``.
     """
 
     def __init__(self, role: str, folder: pathlib.Path) -> None:
@@ -45,11 +45,11 @@
         elif role == "control":
             self.fleet.add_controls(1)
         else:
-            # Settings must name a control replica; this one never answers.
+            # Settings must name a control replica; this one does not exist.
             self.fleet.controls = ["control-away"]
             self.fleet.add_upstream(UpstreamSpec("1", "engines"))
             del self.fleet.processes["upstream-1"]
-            # Nor is it there to be initialised.
+            # ``__enter__`` must not try to initialise it.
             self.fleet.controls = []
         self.upstream_host = self.fleet.host("upstream-1")
         self.port = port
@@ -72,16 +72,16 @@
         self.fleet.close()
 
     async def usage(self, seconds: float) -> Usage:
-        """Watch the process for a while."""
+        """Return what the process uses during the next ``seconds``."""
         return await watch(self.fleet.processes[self.name].pid, seconds)
 
 
 async def watch(pid: int, seconds: float) -> Usage:
-    """Return what a process spends during the next ``seconds``."""
+    """Return the CPU time and memory of a process over the next ``seconds``."""
     process = psutil.Process(pid)
     loop = asyncio.get_running_loop()
-    before, began = process.cpu_times(), loop.time()
+    before, started_at = process.cpu_times(), loop.time()
     await asyncio.sleep(seconds)
-    after, ended = process.cpu_times(), loop.time()
+    after, ended_at = process.cpu_times(), loop.time()
     spent = after.user + after.system - before.user - before.system
-    return Usage(spent / (ended - began), process.memory_info().rss / MB)
+    return Usage(spent / (ended_at - started_at), process.memory_info().rss / MB)
--- a/measure/table.py
+++ b/measure/table.py
@@ -1,4 +1,4 @@
-"""Sums up several runs of each policy and prints them as a table.  Pure."""
+"""Formats the figures of several runs of each policy as Markdown tables; no I/O."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """One column: its title, the figure, how to show it, and which way is better.
+    """A column of a table: its title, its figure and how to format that.
 
-    ``better`` is min or max for a figure that is compared with the best baseline.
+    ``better`` is min or max if the figure is compared with the best baseline.
     """
 
     title: str
     value: Callable[[Figures], float]
-    show: str = "{:.0f}"
+    number_format: str = "{:.0f}"
     better: Callable[[Sequence[float]], float] | None = None
 
 
@@ -30,7 +30,7 @@
     Column("wasted share", lambda f: f.wasted_share, "{:.3f}", min),
     Column("wasted tokens", lambda f: f.wasted_tokens, "{:.0f}", min),
 )
-SUMS = (
+TOTALS = (
     Column("asked", lambda f: f.asked),
     Column("whole", lambda f: f.whole),
     Column("refused", lambda f: f.refused),
@@ -49,31 +49,31 @@
 
 
 def figures_table(runs: Mapping[str, Sequence[Figures]], product: str) -> str:
-    """Return the median of each figure with its least and greatest in brackets.
+    """Return the median of each figure with its minimum and maximum in brackets.
 
-    The last row has the product's median as a ratio to the best baseline's.
+    The last row is the ratio of the median of the product to that of the best baseline.
     """
     rows = [
-        [policy, *(_spread(column, found) for column in COLUMNS)]
-        for policy, found in runs.items()
+        [policy, *(_median_and_range(column, figures) for column in COLUMNS)]
+        for policy, figures in runs.items()
     ]
     rows.append([f"{product} / best baseline", *_ratios(runs, product)])
     return _markdown(["policy", *(column.title for column in COLUMNS)], rows)
 
 
-def sums_table(runs: Mapping[str, Sequence[Figures]]) -> str:
-    """Return what became of the requests, summed over all runs."""
+def totals_table(runs: Mapping[str, Sequence[Figures]]) -> str:
+    """Return the counts of outcomes, summed over all runs of each policy."""
     rows = [
-        [policy, *(f"{sum(column.value(f) for f in found):.0f}" for column in SUMS)]
-        for policy, found in runs.items()
+        [policy, *(f"{sum(column.value(f) for f in figures):.0f}" for column in TOTALS)]
+        for policy, figures in runs.items()
     ]
-    return _markdown(["policy", *(column.title for column in SUMS)], rows)
+    return _markdown(["policy", *(column.title for column in TOTALS)], rows)
 
 
-def _spread(column: Column, found: Sequence[Figures]) -> str:
-    values = [column.value(f) for f in found]
+def _median_and_range(column: Column, figures: Sequence[Figures]) -> str:
+    values = [column.value(f) for f in figures]
     middle, low, high = statistics.median(values), min(values), max(values)
-    shown = [column.show.format(value) for value in (middle, low, high)]
+    shown = [column.number_format.format(value) for value in (middle, low, high)]
     return f"{shown[0]} ({shown[1]}–{shown[2]})"
 
 
@@ -81,8 +81,8 @@
     shown = []
     for column in COLUMNS:
         medians = {
-            policy: statistics.median(column.value(f) for f in found)
-            for policy, found in runs.items()
+            policy: statistics.median(column.value(f) for f in figures)
+            for policy, figures in runs.items()
         }
         baselines = [value for policy, value in medians.items() if policy != product]
         if product not in medians or not baselines or column.better is None:
--- a/measure/workload.py
+++ b/measure/workload.py
@@ -1,9 +1,9 @@
-"""Seeded open-loop load of prompts that share long prefixes, nested in levels.
+"""A seeded open-loop load of prompts that share long, nested prefixes.
 
-A prompt is a workspace's guide, then a lot or log, then a question.  A few
-workspaces are large.  Part of the load goes to a few hot lots, and which ones are
-hot shifts during the run.  Calls of plain services run beside.  Pure: the same seed
-gives the same load.
+A prompt is the guide of a workspace, then one of the lots (documents) of the
+workspace, then a question.  A few workspaces get most of the load.  A share of the
+prompts goes to a few hot lots, which change during the run.  Service calls run
+concurrently.  The module is pure: the same seed gives the same load.
 """
 
 from __future__ import annotations
@@ -21,14 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What the load is like: seconds, requests a second, tokens.
-
-    What is asked in the first ``warm_up_s`` counts only for the outcomes, since
-    caches are empty then whatever the policy.
-    ``lots`` is how many lots a workspace of weight 1 has; ``hot_share`` of the
-    prompts go to ``hot_lots`` lots, which change every ``shift_s`` seconds.
-    ``calls_per_s`` is the rate of service calls, ``keyed_share`` the part of them
-    with an Idempotency-Key.
+    """Parameters of a load, in seconds, requests per second and tokens.
+
+    Requests of the first ``warm_up_s`` seconds count only for the outcomes, since the
+    caches are empty then under any policy.  ``lots`` is the number of lots of a
+    workspace of weight 1.  A share ``hot_share`` of the prompts goes to ``hot_lots``
+    lots, which change every ``shift_s`` seconds.  ``calls_per_s`` is the rate of service calls, and
+    ``keyed_share`` the share of them with an Idempotency-Key.
     """
 
     duration_s: float = 16.0
@@ -47,13 +46,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
-    """One prompt, due ``at`` seconds into the run.
+class PromptRequest:
+    """One prompt, to be sent ``due_s`` seconds after the start of the run.
 
-    The texts are named, not held: a few kilobytes each would fill the memory.
+    It has only the names of its texts, from which they are generated when needed; the
+    texts of all prompts of a run would fill the memory.
     """
 
-    at: float
+    due_s: float
     name: str
     workspace: int
     guide: str
@@ -81,60 +81,66 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One service call, due ``at`` seconds into the run; its body is unique."""
+class ServiceCall:
+    """One service call, sent ``due_s`` seconds after the start; its body is unique."""
 
-    at: float
+    due_s: float
     name: str
     workspace: int
     keyed: bool
 
 
 def text(name: str, tokens: int) -> str:
-    """Return the text of that name, of about ``tokens`` tokens."""
+    """Return the text that belongs to a name, about ``tokens`` tokens long."""
     return random.Random(name).randbytes(tokens * BYTES_PER_TOKEN // 2).hex()
 
 
-def prompts(shape: Shape, seed: str, salt: str) -> list[Ask]:
-    """Return the prompts of a run in order of time.
+def prompts(shape: Shape, seed: str, salt: str) -> list[PromptRequest]:
+    """Return the prompts of a run in order of their due times.
 
-    ``seed`` decides when which prefix is asked for, ``salt`` tells the texts of two
-    runs of one seed apart.
+    ``seed`` determines which prefixes are requested and when; ``salt`` makes the texts
+    of two runs with the same seed differ.
     """
     rng = random.Random(f"{seed}/prompts")
-    asks = []
-    for number, at in enumerate(_arrivals(rng, shape.prompts_per_s, shape.duration_s)):
-        workspace, lot = _choose_lot(rng, shape, seed, at)
+    requests = []
+    for number, due_s in enumerate(
+        _arrivals(rng, shape.prompts_per_s, shape.duration_s)
+    ):
+        workspace, lot = _choose_lot(rng, shape, seed, due_s)
         guide = f"{salt}/guide/{workspace}"
         name = f"{salt}/question/{number}"
-        asks.append(Ask(at, name, workspace, guide, f"{guide}/lot/{lot}", shape))
-    return asks
+        requests.append(
+            PromptRequest(due_s, name, workspace, guide, f"{guide}/lot/{lot}", shape)
+        )
+    return requests
 
 
-def calls(shape: Shape, seed: str, salt: str) -> list[Call]:
-    """Return the service calls of a run in order of time, as ``prompts`` does."""
+def calls(shape: Shape, seed: str, salt: str) -> list[ServiceCall]:
+    """Return the service calls of a run in order of their due times."""
     rng = random.Random(f"{seed}/calls")
-    found = []
-    for number, at in enumerate(_arrivals(rng, shape.calls_per_s, shape.duration_s)):
+    service_calls = []
+    for number, due_s in enumerate(_arrivals(rng, shape.calls_per_s, shape.duration_s)):
         keyed = rng.random() < shape.keyed_share
         name = f"{salt}/call/{number}"
-        found.append(Call(at, name, _weighted(rng, WORKSPACE_WEIGHTS), keyed))
-    return found
+        service_calls.append(
+            ServiceCall(due_s, name, _weighted(rng, WORKSPACE_WEIGHTS), keyed)
+        )
+    return service_calls
 
 
 def _choose_lot(
-    rng: random.Random, shape: Shape, seed: str, at: float
+    rng: random.Random, shape: Shape, seed: str, due_s: float
 ) -> tuple[int, int]:
     if rng.random() < shape.hot_share:
-        # The same for all prompts of one phase of the run.
-        phase = int(at // shape.shift_s)
+        # Seeded by the phase: all prompts of a phase share the same hot lots.
+        phase = int(due_s // shape.shift_s)
         hot = random.Random(f"{seed}/hot/{phase}")
-        choices = [_any_lot(hot, shape) for _ in range(shape.hot_lots)]
+        choices = [_random_lot(hot, shape) for _ in range(shape.hot_lots)]
         return rng.choice(choices)
-    return _any_lot(rng, shape)
+    return _random_lot(rng, shape)
 
 
-def _any_lot(rng: random.Random, shape: Shape) -> tuple[int, int]:
+def _random_lot(rng: random.Random, shape: Shape) -> tuple[int, int]:
     workspace = _weighted(rng, WORKSPACE_WEIGHTS)
     lots = max(1, round(shape.lots * WORKSPACE_WEIGHTS[workspace]))
     return workspace, rng.randrange(lots)
@@ -148,7 +154,7 @@
 def _arrivals(rng: random.Random, rate: float, duration_s: float) -> Iterator[float]:
     if rate <= 0:
         return
-    at = rng.expovariate(rate)
-    while at < duration_s:
-        yield at
-        at += rng.expovariate(rate)
+    due_s = rng.expovariate(rate)
+    while due_s < duration_s:
+        yield due_s
+        due_s += rng.expovariate(rate)
--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,7 @@
-"""A randomised soak of the real programs as separate processes on one machine.
+"""A randomised soak test of the real programs, as separate processes on one machine.
 
-A seed decides which faults come when.  They are injected from outside: signals to the
-processes, a relay between them, folders that are emptied.  While callers go on, and
-afterwards, the promises of the product are checked from what callers and upstreams see.
+A seed determines which faults are injected and when.  Faults are signals to processes,
+relays that disturb the connections between them, and deleted data folders.  Meanwhile
+callers send requests.  At the end the guarantees of the product are checked against the
+answers that callers received and the runs that upstreams recorded.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,7 +1,8 @@
-"""Runs seeds of the soak: ``python -m soak --seeds 5``, or ``--seed 17`` alone.
+"""Runs the soak test with given or random seeds.
 
-Without ``--seed`` the seeds are fresh.  ``--known`` runs those that ever failed, which
-``known_seeds.toml`` lists with their causes.  Folders of failed seeds are kept.
+``python -m soak --seeds 5`` runs five random seeds, ``--seed 17`` only that one.
+``--known`` runs all seeds that ever failed; ``known_seeds.toml`` lists them with their
+causes.  The log folder of a seed that fails is retained.
 """
 
 from __future__ import annotations
@@ -16,68 +17,71 @@
 
 import fire
 
-from soak.field import Field
+from soak.field import Environment
 from soak.plan import Fault, make_plan
-from soak.promises import Callers, broken_promises
+from soak.promises import Callers, find_violations
 from tests.callers import Load
 
-KNOWN = pathlib.Path(__file__).parent / "known_seeds.toml"
-CALLERS = 4
-SECONDS = 20.0
+KNOWN_SEEDS_PATH = pathlib.Path(__file__).parent / "known_seeds.toml"
+CALLER_COUNT = 4
+DEFAULT_SECONDS = 20.0
 MAX_SEED = 1_000_000
 
 
-def play(seed: int, seconds: float, folder: pathlib.Path) -> list[str]:
-    """Play one seed; return the promises that it broke."""
+def run_seed(seed: int, seconds: float, folder: pathlib.Path) -> list[str]:
+    """Run one seed; return the violated guarantees."""
     load = Load()
-    field = Field(folder, load)
+    environment = Environment(folder, load)
     try:
-        targets = field.start()
+        targets = environment.start()
         plan = make_plan(seed, targets, seconds)
-        urls = [field.fleet.entry_url(name) for name in field.fleet.entries]
-        callers = Callers(urls, seed, CALLERS)
+        urls = [environment.fleet.entry_url(name) for name in environment.fleet.entries]
+        callers = Callers(urls, seed, CALLER_COUNT)
         sending = load.start(callers.run())
-        load.run(_carry_out(field, plan))
+        load.run(_inject_all(environment, plan))
         callers.stop()
         sending.result(10 * seconds + 120.0)
         print(f"seed {seed}: {len(plan)} faults, {callers.sent.summary()}", flush=True)
-        return broken_promises(field, callers.sent)
+        return find_violations(environment, callers.sent)
     finally:
-        field.close()
+        environment.close()
         load.close()
 
 
-async def _carry_out(field: Field, plan: tuple[Fault, ...]) -> None:
-    """Begin each fault at its time; they overlap."""
+async def _inject_all(environment: Environment, plan: tuple[Fault, ...]) -> None:
+    """Inject each fault at its start time; faults may overlap."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     running = []
     for fault in plan:
-        await asyncio.sleep(max(0.0, began + fault.at_s - loop.time()))
-        running.append(asyncio.create_task(field.carry_out(fault)))
+        await asyncio.sleep(max(0.0, started_at + fault.start_s - loop.time()))
+        running.append(asyncio.create_task(environment.inject(fault)))
     await asyncio.gather(*running)
 
 
 def known_seeds() -> list[int]:
-    """Seeds that ever failed."""
-    found = tomllib.loads(KNOWN.read_text())
-    return [int(one["seed"]) for one in found.get("seeds", ())]
+    """Return the seeds that ever failed."""
+    table = tomllib.loads(KNOWN_SEEDS_PATH.read_text())
+    return [int(entry["seed"]) for entry in table.get("seeds", ())]
 
 
 def soak(
-    seeds: int = 1, seed: int = -1, seconds: float = SECONDS, known: bool = False
+    seeds: int = 1,
+    seed: int = -1,
+    seconds: float = DEFAULT_SECONDS,
+    known: bool = False,
 ) -> None:
-    """Play seeds one after the other; exit with 1 if a promise was broken."""
+    """Run seeds one after the other; exit with 1 if a guarantee was violated."""
     chosen = known_seeds() if known else [seed]
     if not known and seed < 0:
         chosen = [random.SystemRandom().randrange(MAX_SEED) for _ in range(seeds)]
     failed = 0
     for number in chosen:
         folder = pathlib.Path(tempfile.mkdtemp(prefix=f"soak-{number}-"))
-        broken = play(number, seconds, folder)
-        for line in broken:
+        violations = run_seed(number, seconds, folder)
+        for line in violations:
             print(f"seed {number}: BROKEN: {line}", flush=True)
-        if broken:
+        if violations:
             failed += 1
             print(f"seed {number}: logs are in {folder}", flush=True)
         else:
--- a/soak/field.py
+++ b/soak/field.py
@@ -1,6 +1,7 @@
-"""The processes of one soak, the relays between them, and the faults done to them.
+"""The processes of one soak run, the relays between them, and the injection of faults.
 
-Lives as long as one seed.  It ends only processes that it started, by their ids.
+Each seed has its own environment.  It ends only processes that it started, by their
+ids.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 from collections.abc import Awaitable, Callable
 
 from gooseberrydale.version.declarations import Profile, ProfileKind, Workspace
-from soak.plan import ON_LINKS, Fault, FaultKind, Targets
+from soak.plan import LINK_FAULTS, Fault, FaultKind, Targets
 from tests.callers import Load
 from tests.fleet import (
     CONTROL_RPC,
@@ -28,8 +29,8 @@
 DEADLINE_S = 20.0
 ZONES = ("zone-1", "zone-2", "zone-3")
 ENGINES, SERVICES, ENTRIES, CONTROLS = 2, 1, 2, 3
-DRAIN_BOUND_S = 40.0
-"""A drain gives open answers 30 s."""
+DRAIN_TIMEOUT_S = 40.0
+"""Longer than the 30 s that a draining process gives open answers."""
 
 MODES = {
     FaultKind.SILENT: RelayMode.SILENT,
@@ -39,20 +40,24 @@
 }
 
 
-class Field:
-    """A fleet whose processes reach each other through relays."""
+class Environment:
+    """A fleet whose processes connect to each other through relays.
+
+    ``attempted`` and ``acknowledged`` are the workspaces that were added while faults
+    were injected; ``drain_failures`` are processes that did not exit with 0.
+    """
 
     def __init__(self, folder: pathlib.Path, load: Load) -> None:
         self.fleet = Fleet(folder, ZONES)
         self._load = load
         self._relays: dict[str, Relay] = {}
-        self._held: dict[str, int] = {}
+        self._reserved: dict[str, int] = {}
         self.acknowledged: list[str] = []
-        self.unclear: list[str] = []
-        self.drained_badly: list[str] = []
+        self.attempted: list[str] = []
+        self.drain_failures: list[str] = []
 
     def start(self) -> Targets:
-        """Start everything; return what faults may be done to."""
+        """Start all processes; return the targets of faults."""
         fleet = self.fleet
         for number in range(CONTROLS):
             self._relay(f"control-{number + 1}", CONTROL_RPC)
@@ -72,24 +77,24 @@
             sidecars=tuple(f"sidecar-{name}" for name in (*engines, *services)),
             controls=tuple(fleet.controls),
             engines=tuple(f"upstream-{name}" for name in engines),
-            keepers=tuple(f"upstream-{name}" for name in services),
+            recording_upstreams=tuple(f"upstream-{name}" for name in services),
             links=tuple(self._relays),
         )
 
     def close(self) -> None:
-        """End every process and relay that is still there."""
+        """Stop all remaining processes and relays."""
         self.fleet.close()
         for relay in self._relays.values():
             self._load.run(relay.close())
 
-    async def carry_out(self, fault: Fault) -> None:
-        """Do one fault and undo it; returns once it is undone."""
-        if fault.kind in ON_LINKS:
-            await self._on_link(fault)
+    async def inject(self, fault: Fault) -> None:
+        """Inject one fault and undo it; return once it is undone."""
+        if fault.kind in LINK_FAULTS:
+            await self._fault_link(fault)
             return
-        do: dict[FaultKind, Callable[[Fault], Awaitable[None]]] = {
+        handlers: dict[FaultKind, Callable[[Fault], Awaitable[None]]] = {
             FaultKind.KILL: self._kill,
-            FaultKind.HERD: self._kill,
+            FaultKind.MASS_KILL: self._kill,
             FaultKind.PAUSE: self._pause,
             FaultKind.DRAIN: self._drain,
             FaultKind.RELOAD: self._reload,
@@ -97,65 +102,65 @@
             FaultKind.CHANGE: self._change,
             FaultKind.RACE: self._race,
         }
-        await do[fault.kind](fault)
+        await handlers[fault.kind](fault)
 
-    # Faults of processes.  A process that another fault holds is left to it.
+    # Faults of processes.  A process that another fault has reserved is skipped.
 
     async def _kill(self, fault: Fault) -> None:
-        taken = [name for name in fault.targets if self._take(name)]
-        for name in taken:
+        reserved = [name for name in fault.targets if self._reserve(name)]
+        for name in reserved:
             await asyncio.to_thread(self.fleet.processes[name].kill)
-        await asyncio.sleep(fault.for_s)
-        for name in taken:
-            self._start_again(name)
+        await asyncio.sleep(fault.duration_s)
+        for name in reserved:
+            self._restart(name)
 
     async def _pause(self, fault: Fault) -> None:
         [name] = fault.targets
-        if not self._take(name):
+        if not self._reserve(name):
             return
         self.fleet.processes[name].freeze()
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         self.fleet.processes[name].thaw()
         self._release(name)
 
     async def _drain(self, fault: Fault) -> None:
         [name] = fault.targets
-        if not self._take(name):
+        if not self._reserve(name):
             return
         process = self.fleet.processes[name]
         process.terminate()
-        code = await asyncio.to_thread(process.wait, DRAIN_BOUND_S)
+        code = await asyncio.to_thread(process.wait, DRAIN_TIMEOUT_S)
         if code != 0:
-            self.drained_badly.append(f"{name} ended with {code}")
-        self._start_again(name)
+            self.drain_failures.append(f"{name} ended with {code}")
+        self._restart(name)
 
     async def _reload(self, fault: Fault) -> None:
         [name] = fault.targets
-        if self._take(name):
+        if self._reserve(name):
             self.fleet.processes[name].reload()
             self._release(name)
 
     async def _wipe(self, fault: Fault) -> None:
         [name] = fault.targets
-        if not self._take(name):
+        if not self._reserve(name):
             return
         await asyncio.to_thread(self.fleet.processes[name].kill)
         shutil.rmtree(self.fleet.folder / name, ignore_errors=True)
-        await asyncio.sleep(fault.for_s)
-        self._start_again(name)
+        await asyncio.sleep(fault.duration_s)
+        self._restart(name)
 
-    # Changes of operators.
+    # Configuration changes by operators.
 
     async def _change(self, fault: Fault) -> None:
-        await self._apply(f"ws-{round(fault.at_s * 100)}")
+        await self._apply(f"ws-{round(fault.start_s * 100)}")
 
     async def _race(self, fault: Fault) -> None:
-        names = [f"ws-{round(fault.at_s * 100)}-{side}" for side in "ab"]
+        names = [f"ws-{round(fault.start_s * 100)}-{side}" for side in "ab"]
         await asyncio.gather(*map(self._apply, names))
 
     async def _apply(self, name: str) -> None:
-        """Add a workspace; without an answer nobody knows whether it is there."""
-        self.unclear.append(name)
+        """Add a workspace; without an answer it may or may not have been added."""
+        self.attempted.append(name)
         try:
             workspace = Workspace(name=name)
             await asyncio.to_thread(self.fleet.declare, (), (workspace,))
@@ -165,31 +170,31 @@
 
     # Faults of links.
 
-    async def _on_link(self, fault: Fault) -> None:
+    async def _fault_link(self, fault: Fault) -> None:
         [name] = fault.targets
         relay = self._relays[name]
         if fault.kind is FaultKind.SILENT_OPEN:
             relay.silence_open()
             return
-        if not self._take(f"link {name}"):
+        if not self._reserve(f"link {name}"):
             return
         await relay.set_mode(MODES[fault.kind])
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         await relay.set_mode(RelayMode.FORWARD)
         self._release(f"link {name}")
 
-    # Details.
+    # Helpers.
 
-    def _take(self, name: str) -> bool:
-        if self._held.get(name):
+    def _reserve(self, name: str) -> bool:
+        if self._reserved.get(name):
             return False
-        self._held[name] = 1
+        self._reserved[name] = 1
         return True
 
     def _release(self, name: str) -> None:
-        self._held[name] = 0
+        self._reserved[name] = 0
 
-    def _start_again(self, name: str) -> None:
+    def _restart(self, name: str) -> None:
         self.fleet.processes[name].start()
         self._release(name)
 
--- a/soak/plan.py
+++ b/soak/plan.py
@@ -1,4 +1,4 @@
-"""Which faults come when, from a seed.  Pure."""
+"""Derives the faults of a soak run and their times from a seed; does no I/O."""
 
 from __future__ import annotations
 
@@ -7,24 +7,31 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-LONGEST_S = 5.0
-"""Longer than every lease and silence limit of the product but that of upstreams."""
+MAX_FAULT_S = 5.0
+"""Longer than all leases and silence limits except those of upstreams."""
 
-SHORTEST_S = 0.3
-GAP_S = 1.2
-"""Mean time between two faults; with faults of some seconds a few overlap."""
+MIN_FAULT_S = 0.3
+MEAN_GAP_S = 1.2
+"""Mean time between the starts of two faults; short enough that some overlap."""
 
-HERD_PART = 0.6
+MASS_KILL_FRACTION = 0.6
+"""Fraction of the entries that a mass kill ends."""
 
 
 class FaultKind(StrEnum):
-    """What is done to one process, or to the way to it."""
+    """A fault of a process or of the link to it.
+
+    MASS_KILL kills most entries together.  RELOAD sends SIGHUP.  WIPE deletes the data
+    of a control replica.  CHANGE adds a workspace; RACE adds two concurrently.  SILENT
+    and the kinds after it are faults of links; SILENT_OPEN silences only connections
+    that are already open.
+    """
 
     KILL = "kill"
     PAUSE = "pause"
     DRAIN = "drain"
     RELOAD = "reload"
-    HERD = "herd"
+    MASS_KILL = "herd"
     WIPE = "wipe"
     CHANGE = "change"
     RACE = "race"
@@ -35,7 +42,7 @@
     CUT = "cut"
 
 
-ON_LINKS = frozenset(
+LINK_FAULTS = frozenset(
     {
         FaultKind.SILENT,
         FaultKind.SILENT_OPEN,
@@ -48,62 +55,66 @@
 
 @dataclass(frozen=True, slots=True)
 class Targets:
-    """Names by what may be done to them.
+    """Names of the processes and links, grouped by the faults that they may get.
 
-    ``keepers`` are upstreams whose record must survive: they are never killed.
+    ``recording_upstreams`` are services whose record of runs is checked at the end, so
+    they are never killed.
     """
 
     entries: tuple[str, ...]
     sidecars: tuple[str, ...]
     controls: tuple[str, ...]
     engines: tuple[str, ...]
-    keepers: tuple[str, ...]
+    recording_upstreams: tuple[str, ...]
     links: tuple[str, ...]
 
-    def of(self) -> Mapping[FaultKind, Sequence[str]]:
-        """The targets of each kind of fault; none means that it needs none."""
+    def by_kind(self) -> Mapping[FaultKind, Sequence[str]]:
+        """Return the targets by kind of fault; empty if the kind needs none."""
         processes = (*self.entries, *self.sidecars, *self.controls, *self.engines)
-        found: dict[FaultKind, Sequence[str]] = {kind: self.links for kind in ON_LINKS}
-        found |= {
+        targets: dict[FaultKind, Sequence[str]] = {
+            kind: self.links for kind in LINK_FAULTS
+        }
+        targets |= {
             FaultKind.KILL: processes,
-            FaultKind.PAUSE: (*processes, *self.keepers),
+            FaultKind.PAUSE: (*processes, *self.recording_upstreams),
             FaultKind.DRAIN: (*self.entries, *self.sidecars, *self.controls),
             FaultKind.RELOAD: (*self.entries, *self.sidecars, *self.controls),
-            FaultKind.HERD: self.entries,
+            FaultKind.MASS_KILL: self.entries,
             FaultKind.WIPE: self.controls,
             FaultKind.CHANGE: (),
             FaultKind.RACE: (),
         }
-        return found
+        return targets
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: when it begins in seconds, on what, and for how long."""
+    """One fault; ``start_s`` counts from the start of the run."""
 
-    at_s: float
+    start_s: float
     kind: FaultKind
     targets: tuple[str, ...]
-    for_s: float
+    duration_s: float
 
 
 def make_plan(seed: int, targets: Targets, length_s: float) -> tuple[Fault, ...]:
-    """The faults of ``seed`` within ``length_s`` seconds, in order.
+    """Return the faults of ``seed`` within ``length_s`` seconds, by start time.
 
-    At most one control replica loses its disk: more than that is no promise of ours.
+    At most one control replica loses its disk, as the product guarantees nothing if
+    more of them do.
     """
     rng = random.Random(seed)
-    kinds = targets.of()
+    kinds = targets.by_kind()
     faults: list[Fault] = []
     wiped = False
-    at_s = rng.expovariate(1.0 / GAP_S)
-    while at_s < length_s:
+    start_s = rng.expovariate(1.0 / MEAN_GAP_S)
+    while start_s < length_s:
         kind = rng.choice([kind for kind in kinds if not (wiped and kind == "wipe")])
         wiped = wiped or kind is FaultKind.WIPE
-        for_s = rng.uniform(SHORTEST_S, LONGEST_S)
+        duration_s = rng.uniform(MIN_FAULT_S, MAX_FAULT_S)
         chosen = _choose(rng, kind, kinds[kind])
-        faults.append(Fault(round(at_s, 2), kind, chosen, round(for_s, 2)))
-        at_s += rng.expovariate(1.0 / GAP_S)
+        faults.append(Fault(round(start_s, 2), kind, chosen, round(duration_s, 2)))
+        start_s += rng.expovariate(1.0 / MEAN_GAP_S)
     return tuple(faults)
 
 
@@ -112,7 +123,7 @@
 ) -> tuple[str, ...]:
     if not names:
         return ()
-    if kind is FaultKind.HERD:
-        count = max(1, round(len(names) * HERD_PART))
+    if kind is FaultKind.MASS_KILL:
+        count = max(1, round(len(names) * MASS_KILL_FRACTION))
         return tuple(rng.sample(list(names), count))
     return (rng.choice(names),)
--- a/tests/builders_example.py
+++ b/tests/builders_example.py
@@ -1,4 +1,4 @@
-"""Test data of the example engine."""
+"""Builders of test data for the example engine."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 def job(
     job_id: int, keys: str = "", *, priority: int = 0, answer_tokens: int = 2
 ) -> Job:
-    """Return a job whose prompt is its pieces and ten tokens more."""
+    """Return a job whose prompt has one piece per letter and ten more tokens."""
     return Job(
         job_id=job_id,
         prompt_tokens=len(keys) * PIECE_TOKENS + 10,
@@ -30,10 +30,10 @@
 def engine(
     max_batch: int = 2, cache_tokens: int = 1_000, ttl_s: float = 60.0
 ) -> Engine:
-    """Return an engine that prefills 100 tokens and emits 10 tokens a second."""
+    """Return an engine that prefills 100 tokens and emits 10 tokens per second."""
     return Engine(EngineCfg(max_batch, 100.0, 0.1, cache_tokens, ttl_s))
 
 
 def of_type(outputs: list[Output], kind: type) -> list[Output]:
-    """Return the outputs of one type."""
+    """Return the outputs that are of the type ``kind``."""
     return [output for output in outputs if isinstance(output, kind)]
--- a/tests/example_fleet.py
+++ b/tests/example_fleet.py
@@ -1,7 +1,7 @@
 """Starts a deployment of examples/ on loopback, as its operators would.
 
-The files are used as they stand; only the instances' addresses are moved into the
-loopback range, and secrets are put beside them.
+Its files are used unchanged, except that the addresses of the instances are replaced by
+loopback addresses.  Secrets are written next to the files.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class ExampleFleet(Fleet):
-    """All processes of one deployment, by the names of their settings files."""
+    """All processes of one deployment, named after their settings files."""
 
     def __init__(self, folder: pathlib.Path, deployment: str) -> None:
         super().__init__(folder, ())
@@ -29,13 +29,13 @@
             self._add(path)
 
     def apply_declarations(self) -> str:
-        """Apply the deployment's file with the operators' command, and wait."""
+        """Apply the declarations with the operators' command and its ``--wait``."""
         wait_until(self.control_whole, "control replicas are missing")
         declarations = str(self._source / "declarations.toml")
         return self.cli("apply", declarations, "--wait", *self.operator_args())
 
     def add_key(self, workspace: str) -> str:
-        """Make an API key for a workspace."""
+        """Create an API key for a workspace and return it."""
         printed = self.cli("workspace", "add_key", workspace, *self.operator_args())
         return printed.strip().splitlines()[-1]
 
@@ -65,7 +65,7 @@
 
 
 def started(folder: pathlib.Path, deployment: str) -> ExampleFleet:
-    """Write the secrets, start everything, and return the fleet."""
+    """Write the secrets, start all processes, and return the fleet."""
     fleet = ExampleFleet(folder, deployment)
     (folder / "fleet.token").write_text("fleet-token-of-an-example-deployment")
     (folder / "operator-token").write_text(OPERATOR_TOKEN)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The example engine's model: cache, batching, priorities and answers."""
+"""Tests of the example engine: cache, batching, priorities, answers and orders."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     assert cache.match(pieces("abc"), 2.0) == 200
 
 
-def test_what_was_used_last_survives():
+def test_the_least_recently_used_piece_is_evicted():
     cache = PrefixCache(200, 60.0)
     cache.store(pieces("a"), "root", 0.0)
     cache.store(pieces("b"), "root", 1.0)
@@ -51,7 +51,7 @@
     assert cache.store(pieces("c"), "root", 3.0).removed == ("b",)
 
 
-def test_pieces_go_within_seconds_unless_used():
+def test_pieces_expire_unless_used():
     cache = PrefixCache(1_000, 5.0)
     cache.store(pieces("ab"), "root", 0.0)
     cache.match(pieces("a"), 4.0)
@@ -60,7 +60,7 @@
     assert cache.expire(9.0).removed == ("a",)
 
 
-def test_prefill_takes_as_long_as_the_uncached_tokens_need():
+def test_prefill_time_depends_on_the_uncached_tokens():
     model = engine()
     assert of_type(model.submit(job(1, "a"), 0.0), Started) == [Started(1, 0)]
     assert model.advance(1.1) != []
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize("at", [0.05, 0.15, 0.25], ids=["prefill", "decode", "later"])
-def test_a_cancelled_job_makes_room_at_once(at):
+def test_a_cancelled_job_frees_its_batch_slot_immediately(at):
     model = engine(max_batch=1)
     model.submit(job(1, answer_tokens=50), 0.0)
     model.submit(job(2), 0.0)
@@ -121,12 +121,12 @@
     cut=st.integers(0, 80),
     chat=st.booleans(),
 )
-def test_a_cut_answer_goes_on_exactly_where_it_was_cut(question, cut, chat):
+def test_an_interrupted_answer_resumes_where_it_stopped(question, cut, chat):
     messages = [{"role": "user", "content": question}]
     body = {"messages": messages} if chat else {"prompt": question}
     prompt = _parse(body, chat=chat).unwrap()
-    whole = answer_text(prompt.digest, prompt.answer_tokens)
-    given_text = whole[:cut]
+    complete_text = answer_text(prompt.digest, prompt.answer_tokens)
+    given_text = complete_text[:cut]
     if chat:
         last = {"role": "assistant", "content": given_text}
         body = {"messages": [*messages, last], "continue_final_message": True}
@@ -136,7 +136,7 @@
     resumed = _parse(body, chat=chat).unwrap()
     assert resumed.digest == prompt.digest
     end = resumed.first_index + resumed.answer_tokens
-    assert answer_text(resumed.digest, end) == whole
+    assert answer_text(resumed.digest, end) == complete_text
     assert resumed.emitted == given_text
 
 
@@ -157,14 +157,14 @@
         ({}, True),
     ],
 )
-def test_a_body_that_cannot_be_right_is_refused(body, chat):
+def test_an_invalid_body_is_refused(body, chat):
     assert _parse(body, chat=chat).unwrap_err().code == "invalid_field"
 
 
-def test_an_unresumed_text_prompt_is_taken_whole():
-    one = _parse({"prompt": "ab"}, chat=False).unwrap()
-    two = _parse({"prompt": "a"}, chat=False).unwrap()
-    assert one.digest != two.digest
+def test_a_text_prompt_without_resumption_is_all_prompt():
+    prompt = _parse({"prompt": "ab"}, chat=False).unwrap()
+    other_prompt = _parse({"prompt": "a"}, chat=False).unwrap()
+    assert prompt.digest != other_prompt.digest
 
 
 @pytest.mark.parametrize(
@@ -179,14 +179,14 @@
     feed = CacheFeed(cfg, "incarnation", random.Random(1))
     sent = [d for _ in range(6) for d in feed.publish(CacheChange(("a",)), 10.0)]
     assert sorted(d.event.seq for d in sent) == seqs
-    assert all(d.due >= 11.0 for d in sent)
+    assert all(d.due_at >= 11.0 for d in sent)
     assert feed.seq == 6
 
 
-def test_reordered_events_are_overtaken():
+def test_reordered_events_arrive_out_of_sequence():
     feed = CacheFeed(FeedCfg(1.0, reorder_rate=0.5), "incarnation", random.Random(1))
     sent = [d for i in range(20) for d in feed.publish(CacheChange(("a",)), i * 0.1)]
-    order = [d.event.seq for d in sorted(sent, key=lambda d: d.due)]
+    order = [d.event.seq for d in sorted(sent, key=lambda d: d.due_at)]
     assert order != sorted(order)
 
 
@@ -206,17 +206,17 @@
 )
 def test_an_engine_refuses_old_numbers_only_if_it_checks_them(checks, second, outcome):
     gate = OrderGate(checks_fencing=checks)
-    assert gate.take(_order(5, "2")).unwrap()
-    gate.done()
-    taken = gate.take(second)
-    found = taken.unwrap() if taken.is_ok() else taken.unwrap_err().code
-    assert found == outcome
+    assert gate.accept(_order(5, "2")).unwrap()
+    gate.mark_executed()
+    decision = gate.accept(second)
+    result = decision.unwrap() if decision.is_ok() else decision.unwrap_err().code
+    assert result == outcome
 
 
-def test_an_order_that_was_not_carried_out_may_be_given_again():
+def test_an_order_that_was_not_executed_may_be_sent_again():
     gate = OrderGate(checks_fencing=True)
-    gate.take(_order(5, "2"))
-    assert gate.take(_order(5, "2")).unwrap() is True
+    gate.accept(_order(5, "2"))
+    assert gate.accept(_order(5, "2")).unwrap() is True
 
 
 @pytest.mark.parametrize("loads, wait_s", [(1, 0.5), (2, 0.5), (3, 0.75), (4, 1.0)])
@@ -227,11 +227,11 @@
     assert rate.wait_s(ids[-1], 10.0 + wait_s) == 0.0
 
 
-def test_a_load_speeds_up_when_others_end():
+def test_a_load_speeds_up_when_another_ends():
     rate = SharedRate(slots=1, load_s=1.0)
     first = rate.begin(0.0)
     second = rate.begin(0.5)
     assert rate.wait_s(first, 0.5) == pytest.approx(1.0)
-    # Not asked since: the second had half the rate up to 1.5 and all of it after.
+    # The second load had half the rate until 1.5 and the full rate afterwards.
     assert rate.wait_s(second, 1.9) == pytest.approx(0.1)
     assert rate.wait_s(first, 1.9) == 0.0
--- a/tests/test_example_apps.py
+++ b/tests/test_example_apps.py
@@ -1,4 +1,4 @@
-"""The example apps over real sockets: their interface, records and cancelling."""
+"""Tests of the example apps over real sockets: interface, records, cancellation."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 from gooseberrydale.example.kv_store_app import kv_store_app
 from gooseberrydale.example.service_app import service_app
 
-BOUND_S = 30.0
-POLL_S = 0.02
+TIMEOUT_S = 30.0
+POLL_INTERVAL_S = 0.02
 MESSAGES = [{"role": "user", "content": "Which lots open today?"}]
 PIECES = {"kv_pieces": [{"key": "aa", "tokens": 3}], "cache_salt": "root"}
 
@@ -41,7 +41,7 @@
 
 
 def run(scenario) -> None:
-    asyncio.run(asyncio.wait_for(scenario(), BOUND_S))
+    asyncio.run(asyncio.wait_for(scenario(), TIMEOUT_S))
 
 
 async def call(method: str, url: str, **kwargs):
@@ -51,20 +51,20 @@
         return reply.status_code, json.loads(body) if body else None
 
 
-async def until(probe):
-    while not (found := await probe()):
-        await asyncio.sleep(POLL_S)
-    return found
+async def wait_until(read_value):
+    while not (result := await read_value()):
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return result
 
 
-def test_a_streamed_answer_equals_the_plain_one_and_can_be_carried_on():
+def test_a_streamed_answer_equals_the_unstreamed_one_and_can_be_resumed():
     async def scenario():
         async with serving(engine_app(HostCfg())) as url:
             async with AsyncOpenAI(base_url=f"{url}/v1", api_key="none") as client:
-                ask = client.chat.completions.create
-                plain = await ask(model="m", messages=MESSAGES)
-                whole = plain.choices[0].message.content
-                stream = await ask(
+                create = client.chat.completions.create
+                unstreamed = await create(model="m", messages=MESSAGES)
+                complete_text = unstreamed.choices[0].message.content
+                stream = await create(
                     model="m",
                     messages=MESSAGES,
                     stream=True,
@@ -72,18 +72,18 @@
                     extra_body=PIECES,
                 )
                 chunks = [chunk async for chunk in stream]
-                rest = await ask(
+                rest = await create(
                     model="m",
                     messages=[
                         *MESSAGES,
-                        {"role": "assistant", "content": whole[:13]},
+                        {"role": "assistant", "content": complete_text[:13]},
                     ],
                     extra_body={**PIECES, "continue_final_message": True},
                 )
         parts = [c.choices[0].delta.content for c in chunks if c.choices]
-        assert "".join(parts) == whole
+        assert "".join(parts) == complete_text
         assert chunks[-1].usage.prompt_tokens_details.cached_tokens == 0
-        assert whole[:13] + rest.choices[0].message.content == whole
+        assert complete_text[:13] + rest.choices[0].message.content == complete_text
         assert rest.usage.prompt_tokens_details.cached_tokens == 3
 
     run(scenario)
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("stream", [False, True])
 def test_closing_the_connection_cancels_the_job(stream):
     async def scenario():
-        slow = HostCfg(engine=EngineCfg(decode_s=BOUND_S))
+        slow = HostCfg(engine=EngineCfg(decode_s=TIMEOUT_S))
         async with serving(engine_app(slow)) as url:
             body = json.dumps({"messages": MESSAGES, "stream": stream}).encode()
             head = "POST /v1/chat/completions HTTP/1.1\r\nhost: engine\r\n"
@@ -105,36 +105,36 @@
                 _, record = await call("GET", f"{url}/record")
                 return [r for r in record["requests"] if r["state"] == state]
 
-            await until(lambda: in_state("running"))
+            await wait_until(lambda: in_state("running"))
             writer.close()
-            (cancelled,) = await until(lambda: in_state("cancelled"))
+            (cancelled,) = await wait_until(lambda: in_state("cancelled"))
             assert cancelled["request_id"] == "r1"
 
     run(scenario)
 
 
-def test_kv_cache_travels_by_the_store_and_only_under_its_root():
+def test_kv_cache_is_transferred_through_the_store_only_under_its_root():
     async def scenario():
         async with contextlib.AsyncExitStack() as stack:
             store = await stack.enter_async_context(serving(kv_store_app()))
             cfg = HostCfg(kv_store=store)
-            one = await stack.enter_async_context(serving(engine_app(cfg)))
-            two = await stack.enter_async_context(serving(engine_app(cfg)))
+            first_engine = await stack.enter_async_context(serving(engine_app(cfg)))
+            second_engine = await stack.enter_async_context(serving(engine_app(cfg)))
             ask = {"messages": MESSAGES, "max_tokens": 1, **PIECES}
-            await call("POST", f"{one}/v1/chat/completions", json=ask)
+            await call("POST", f"{first_engine}/v1/chat/completions", json=ask)
 
             async def move(url, step, root, key="aa"):
                 wanted = {"root": root, "key": key, "tokens": 3}
                 return (await call("POST", f"{url}/kv/{step}", json=wanted))[0]
 
-            assert await move(two, "import", "root") == 404
-            assert await move(one, "export", "other") == 409
-            assert await move(one, "export", "root", key="bb") == 404
-            assert await move(one, "export", "root") == 200
-            assert await move(two, "import", "other") == 409
+            assert await move(second_engine, "import", "root") == 404
+            assert await move(first_engine, "export", "other") == 409
+            assert await move(first_engine, "export", "root", key="bb") == 404
+            assert await move(first_engine, "export", "root") == 200
+            assert await move(second_engine, "import", "other") == 409
             assert (await call("GET", f"{store}/kv/other/aa"))[0] == 409
-            assert await move(two, "import", "root") == 200
-            _, snapshot = await call("GET", f"{two}/cache/snapshot")
+            assert await move(second_engine, "import", "root") == 200
+            _, snapshot = await call("GET", f"{second_engine}/cache/snapshot")
             assert snapshot["keys"] == ["aa"]
 
     run(scenario)
@@ -182,9 +182,9 @@
                 headers = {"x-request-id": "b1", "x-attempt": attempt}
                 await call("POST", f"{url}/bids", json={"lot": 7}, headers=headers)
             _, record = await call("GET", f"{url}/record")
-        one, two = record["runs"]
-        assert [one["attempt"], two["attempt"]] == ["0", "1"]
-        assert one["body_digest"] == two["body_digest"]
+        first, second = record["runs"]
+        assert [first["attempt"], second["attempt"]] == ["0", "1"]
+        assert first["body_digest"] == second["body_digest"]
 
     run(scenario)
 
@@ -195,14 +195,14 @@
     argv = [sys.executable, "-m", "gooseberrydale.example", app]
     process = subprocess.Popen([*argv, "--port-file", str(port_file)])
     try:
-        end = time.monotonic() + BOUND_S
+        end = time.monotonic() + TIMEOUT_S
         while not port_file.exists() and time.monotonic() < end:
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
         port = int(port_file.read_text())
         path = "health" if app in ("engine", "service") else "record"
         status, _ = asyncio.run(call("GET", f"http://127.0.0.1:{port}/{path}"))
         assert status == 200
         os.kill(process.pid, signal.SIGTERM)
-        assert process.wait(BOUND_S) == 0
+        assert process.wait(TIMEOUT_S) == 0
     finally:
         process.kill()
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -1,4 +1,4 @@
-"""The load and the figures of the measures: what they count, and as what."""
+"""Tests of the load generator, the client and the figures of the measurements."""
 
 from __future__ import annotations
 
@@ -18,27 +18,29 @@
 from gooseberrydale.example.app_server import AppServer
 from gooseberrydale.example.prompts import parse_prompt
 from measure.client import Answer, CallAnswer, Caller, Outcome, Target
-from measure.figures import Figures, figures, ideal_cached_tokens, percentiles
+from measure.figures import Figures, compute_figures, ideal_cached_tokens, percentiles
 from measure.fit import fit
-from measure.load import Result
+from measure.load import LoadResult
 from measure.table import figures_table
-from measure.workload import Ask, Call, Shape, calls, prompts
+from measure.workload import PromptRequest, ServiceCall, Shape, calls, prompts
 
 SHAPE = Shape(warm_up_s=0.0, guide_tokens=40, lot_tokens=20, question_tokens=10)
 
 
-def ask(name: str = "q", guide: str = "g", lot: str = "l", at: float = 0.0) -> Ask:
-    return Ask(at, name, 0, guide, lot, SHAPE)
+def ask(
+    name: str = "q", guide: str = "g", lot: str = "l", due_s: float = 0.0
+) -> PromptRequest:
+    return PromptRequest(due_s, name, 0, guide, lot, SHAPE)
 
 
-def whole(of: Ask) -> Answer:
+def complete_answer(of: PromptRequest) -> Answer:
     prompt = parse_prompt(msgspec.json.encode(of.body("m")), chat=True).unwrap()
     text = answer_text(prompt.digest, prompt.answer_tokens)
-    return Answer(of, Outcome.WHOLE, text=text, first_s=0.5, prompt_tokens=70)
+    return Answer(of, Outcome.WHOLE, text=text, ttft_s=0.5, prompt_tokens=70)
 
 
 def call(name: str, outcome: Outcome, not_run: bool | None = None) -> CallAnswer:
-    made = Call(0.0, name, 0, keyed=True)
+    made = ServiceCall(0.0, name, 0, keyed=True)
     return CallAnswer(made, name.encode(), outcome, not_run=not_run)
 
 
@@ -52,9 +54,11 @@
 
 
 def figures_of(answers=(), call_answers=(), engine_runs=(), service_runs=()) -> Figures:
-    result = Result(list(answers), list(call_answers))
+    result = LoadResult(list(answers), list(call_answers))
     engines = [{"requests": list(engine_runs)}]
-    return figures(result, 1_000, 60.0, engines, [service_record(*service_runs)])
+    return compute_figures(
+        result, 1_000, 60.0, engines, [service_record(*service_runs)]
+    )
 
 
 def test_a_load_is_the_same_for_a_seed_and_its_texts_differ_by_salt():
@@ -62,18 +66,20 @@
     one, again = prompts(shape, "1", "a"), prompts(shape, "1", "a")
     other = prompts(shape, "1", "b")
     assert one == again
-    assert [(a.at, a.workspace) for a in one] == [(a.at, a.workspace) for a in other]
+    assert [(a.due_s, a.workspace) for a in one] == [
+        (a.due_s, a.workspace) for a in other
+    ]
     assert not {a.guide for a in one} & {a.guide for a in other}
-    assert [c.at for c in calls(shape, "1", "a")] != [
-        c.at for c in calls(shape, "2", "a")
+    assert [c.due_s for c in calls(shape, "1", "a")] != [
+        c.due_s for c in calls(shape, "2", "a")
     ]
 
 
 def test_hot_lots_shift_during_the_run():
     shape = Shape(duration_s=20.0, prompts_per_s=50.0, hot_share=1.0, shift_s=10.0)
     load = prompts(shape, "1", "a")
-    early = {a.lot for a in load if a.at < 10.0}
-    late = {a.lot for a in load if a.at >= 10.0}
+    early = {a.lot for a in load if a.due_s < 10.0}
+    late = {a.lot for a in load if a.due_s >= 10.0}
     assert len(early) <= shape.hot_lots
     assert early != late
 
@@ -82,19 +88,19 @@
     "text, wrong",
     [(None, 0), ("", 1), ("cut", 1), ("more", 1)],
 )
-def test_an_answer_that_is_not_the_whole_right_one_is_counted(text, wrong):
-    answer = whole(ask())
+def test_an_incomplete_or_different_answer_counts_as_wrong(text, wrong):
+    answer = complete_answer(ask())
     changed = {"cut": answer.text[:-1], "more": answer.text + "x", "": ""}
     if text is not None:
         answer.text = changed[text]
     assert figures_of([answer]).wrong == wrong
 
 
-def test_outcomes_are_counted_apart():
+def test_outcomes_are_counted_separately():
     kinds = [Outcome.REFUSED, Outcome.BROKEN, Outcome.BROKEN, Outcome.LOST]
-    found = figures_of([Answer(ask(), kind) for kind in kinds])
-    assert (found.asked, found.whole) == (4, 0)
-    assert (found.refused, found.broken, found.lost) == (1, 2, 1)
+    result = figures_of([Answer(ask(), kind) for kind in kinds])
+    assert (result.asked, result.whole) == (4, 0)
+    assert (result.refused, result.broken, result.lost) == (1, 2, 1)
 
 
 @pytest.mark.parametrize(
@@ -119,43 +125,46 @@
         (Outcome.REFUSED, True, 1, "false_refusals"),
     ],
 )
-def test_the_services_record_shows_what_callers_were_told_wrongly(
+def test_answers_that_contradict_the_record_of_the_service_are_counted(
     outcome, not_run, ran, field
 ):
     answer = call("a", outcome, not_run)
-    found = dataclasses.asdict(figures_of((), [answer], (), ["a"] * ran))
+    result = dataclasses.asdict(figures_of((), [answer], (), ["a"] * ran))
     faults = ("calls_doubled", "calls_missing", "false_refusals")
-    assert {name: found[name] for name in faults} == {
+    assert {name: result[name] for name in faults} == {
         name: int(name == field) for name in faults
     }
 
 
-def test_the_ideal_cache_holds_each_prefix_once_and_forgets_by_use():
+def test_the_ideal_cache_holds_each_prefix_once_and_evicts_unused_ones():
     load = [
-        whole(ask("q1", at=0.0)),
-        whole(ask("q2", at=1.0)),
-        whole(ask("q3", lot="other", at=2.0)),
+        complete_answer(ask("q1", due_s=0.0)),
+        complete_answer(ask("q2", due_s=1.0)),
+        complete_answer(ask("q3", lot="other", due_s=2.0)),
     ]
     assert ideal_cached_tokens(load, 1_000, 60.0) == 60 + 40
     assert ideal_cached_tokens(load, 1_000, 0.5) == 0
     assert ideal_cached_tokens(load, 0, 60.0) == 0
 
 
-def test_wasted_tokens_are_those_that_the_ideal_cache_had():
-    load = [whole(ask("q1", at=0.0)), whole(ask("q2", at=1.0))]
+def test_wasted_tokens_are_those_that_the_ideal_cache_held():
+    load = [
+        complete_answer(ask("q1", due_s=0.0)),
+        complete_answer(ask("q2", due_s=1.0)),
+    ]
     load[1].cached_tokens = 40
     assert figures_of(load).wasted_tokens == 20
 
 
 def test_the_warm_up_fills_caches_but_is_not_counted():
     shape = dataclasses.replace(SHAPE, warm_up_s=1.0)
-    cold = whole(dataclasses.replace(ask("q1", at=0.0), shape=shape))
-    warm = whole(dataclasses.replace(ask("q2", at=1.0), shape=shape))
-    cold.first_s, warm.first_s = 9.0, 1.0
+    cold = complete_answer(dataclasses.replace(ask("q1", due_s=0.0), shape=shape))
+    warm = complete_answer(dataclasses.replace(ask("q2", due_s=1.0), shape=shape))
+    cold.ttft_s, warm.ttft_s = 9.0, 1.0
     cold.cached_tokens = 70
-    found = figures_of([cold, warm])
-    assert (found.asked, found.whole, found.hit_rate) == (2, 2, 0.0)
-    assert found.first_p99 == pytest.approx(1.0, rel=0.01)
+    result = figures_of([cold, warm])
+    assert (result.asked, result.whole, result.hit_rate) == (2, 2, 0.0)
+    assert result.first_p99 == pytest.approx(1.0, rel=0.01)
     assert ideal_cached_tokens([cold, warm], 1_000, 60.0) == 60
 
 
@@ -165,7 +174,7 @@
 
 
 def test_the_table_compares_with_the_best_baseline():
-    base = figures_of([whole(ask())])
+    base = figures_of([complete_answer(ask())])
     runs = {
         "affinity": [dataclasses.replace(base, hit_rate=0.9, first_p95=1.0)],
         "random": [dataclasses.replace(base, hit_rate=0.3, first_p95=2.0)],
@@ -179,7 +188,7 @@
 def cutting_app(
     events: list[str], cut_after: int, attachable: bool, clean: bool
 ) -> Starlette:
-    """Serve a stream that breaks off once, and its rest if it is asked for."""
+    """Serve a stream that is interrupted once, and its remainder on reattachment."""
 
     async def cut() -> AsyncIterator[str]:
         for event in events[:cut_after]:
@@ -214,7 +223,7 @@
     ],
 )
 @pytest.mark.parametrize("clean", [False, True], ids=["torn", "ended"])
-def test_a_caller_attaches_again_and_takes_no_cut_answer_for_whole(
+def test_a_caller_reattaches_and_never_reports_a_cut_answer_as_complete(
     cut_after, attachable, outcome, text, clean
 ):
     words = ["one ", "two ", "three "]
@@ -229,7 +238,7 @@
         await server.start()
         caller = Caller(Target((server.url,), "answers", "bids", ("key",)))
         try:
-            return await caller.ask(ask(), 0, b"{}")
+            return await caller.send_prompt(ask(), 0, b"{}")
         finally:
             await caller.close()
             await server.close()
@@ -239,20 +248,22 @@
 
 
 @pytest.mark.parametrize("keyed", [False, True])
-def test_a_call_goes_to_another_entry_if_one_refuses_the_connection(keyed):
+def test_a_call_is_sent_to_another_entry_if_one_refuses_the_connection(keyed):
     async def scenario() -> CallAnswer:
         async def bids(_req: Request) -> Response:
             return Response(b"{}")
 
         path = "/services/bids/bids"
         server = AppServer(Starlette(routes=[Route(path, bids, methods=["POST"])]))
-        gone = AppServer(Starlette())
-        await gone.start()
-        await gone.close()
+        closed_server = AppServer(Starlette())
+        await closed_server.start()
+        await closed_server.close()
         await server.start()
-        caller = Caller(Target((gone.url, server.url), "answers", "bids", ("key",)))
+        caller = Caller(
+            Target((closed_server.url, server.url), "answers", "bids", ("key",))
+        )
         try:
-            return await caller.call(Call(0.0, "a", 0, keyed), 0)
+            return await caller.send_call(ServiceCall(0.0, "a", 0, keyed), 0)
         finally:
             await caller.close()
             await server.close()
@@ -269,6 +280,6 @@
     assert bent.low == 0.0 < bent.slope < bent.high
 
 
-def test_two_sizes_make_no_line():
+def test_a_fit_needs_three_sizes():
     with pytest.raises(ValueError):
         fit([0, 1, 0], [1.0, 2.0, 1.0])
