--- a/gooseberrydale/example/app_server.py
+++ b/gooseberrydale/example/app_server.py
@@ -16,8 +16,8 @@
 import uvicorn
 from starlette.applications import Starlette
 
-STARTUP_POLL_S = 0.01
-SHUTDOWN_GRACE_S = 2  # uvicorn takes whole seconds only
+STARTUP_POLL_INTERVAL_S = 0.01
+SHUTDOWN_GRACE_S = 2
 
 
 class _EmbeddedServer(uvicorn.Server):
@@ -59,7 +59,7 @@
         while not self._server.started:
             if self._task.done():
                 raise OSError(f"cannot listen on {self.host}:{self.port}")
-            await asyncio.sleep(STARTUP_POLL_S)
+            await asyncio.sleep(STARTUP_POLL_INTERVAL_S)
         self.port = self._server.servers[0].sockets[0].getsockname()[1]
 
     async def wait(self) -> None:
--- a/gooseberrydale/example/engine_app.py
+++ b/gooseberrydale/example/engine_app.py
@@ -37,7 +37,7 @@
         self._host = EngineHost(cfg, uuid.uuid4().hex)
         self._kv = KvTransfer(self._host)
         self._gate = OrderGate(checks_fencing=cfg.checks_fencing)
-        self._loading = asyncio.Lock()
+        self._order_lock = asyncio.Lock()
 
     def build(self) -> Starlette:
         """Return the ASGI app."""
@@ -120,7 +120,7 @@
         except msgspec.MsgspecError as exc:
             return problem_response(problem(INVALID_FIELD, reason=exc))
         # Executes orders one at a time, in the order in which the gate accepts them.
-        async with self._loading:
+        async with self._order_lock:
             decision = self._gate.accept(order)
             if isinstance(decision, Err):
                 return problem_response(decision.err_value)
--- a/gooseberrydale/example/engine_host.py
+++ b/gooseberrydale/example/engine_host.py
@@ -34,7 +34,7 @@
 class HostCfg:
     """Settings of an example engine.
 
-    ``load_lag_s`` delays the reported load: each sample is shown after that time.
+    ``load_lag_s`` delays the reported load: each sample is published that much later.
     ``load_s`` is the time to load new weights if no ``weight_store`` is set.
     ``kv_store`` and ``weight_store`` are base URLs.  ``transfer_tps`` is the rate of
     KV export and import in tokens per second.
--- a/measure/figures.py
+++ b/measure/figures.py
@@ -72,7 +72,7 @@
     whole = [a for a in answers if a.outcome is Outcome.WHOLE]
     counts = Counter(a.outcome for a in answers)
     warm = [a for a in whole if is_warm(a)]
-    first = percentiles([a.ttft_s for a in warm])
+    ttft = percentiles([a.ttft_s for a in warm])
     prompt_tokens = sum(a.prompt_tokens for a in warm)
     cached = sum(a.cached_tokens for a in warm)
     ideal = ideal_cached_tokens(whole, cache_tokens, cache_ttl_s)
@@ -89,9 +89,9 @@
         wrong=sum(not is_correct(a) for a in whole),
         doubled=count_doubled(engine_records),
         hit_rate=cached / max(1, prompt_tokens),
-        first_p50=first[0],
-        first_p95=first[1],
-        first_p99=first[2],
+        first_p50=ttft[0],
+        first_p95=ttft[1],
+        first_p99=ttft[2],
         wasted_tokens=wasted,
         wasted_share=wasted / max(1, prompt_tokens),
         client_late_p99=percentiles([a.send_delay_s for a in answers])[2],
--- a/measure/overhead.py
+++ b/measure/overhead.py
@@ -61,7 +61,7 @@
     """Measure ``runs`` times with and without the router; return the table."""
     commit_id()
     started_at = time.monotonic()
-    timings: dict[str, list[Timing]] = {way: [] for way in PATHS}
+    timings: dict[str, list[Timing]] = {path: [] for path in PATHS}
     rng = random.Random(seed)
     with tempfile.TemporaryDirectory() as folder:
         site = Site(SMALL, pathlib.Path(folder, "site"))
@@ -69,25 +69,25 @@
             site.start()
             site.use_policy("affinity")
             for number in range(runs):
-                for way in rng.sample(PATHS, len(PATHS)):
-                    timings[way].append(_run_once(site, way, f"{seed}.{number}"))
+                for path in rng.sample(PATHS, len(PATHS)):
+                    timings[path].append(_run_once(site, path, f"{seed}.{number}"))
         finally:
             site.close()
     return _section(timings, time.monotonic() - started_at)
 
 
-def _run_once(site: Site, way: str, seed: str) -> Timing:
+def _run_once(site: Site, path: str, seed: str) -> Timing:
     target, body = site.target(), router_body_maker(ENGINE_PROFILE)
-    if way == "direct":
+    if path == "direct":
         urls = tuple(site.fleet.upstream_url(name) for name in site.engines)
         target = Target(urls, "", "", (), direct=True)
         body = direct_body
-    result = asyncio.run(run_load(SHAPE, seed, f"{seed}/{way}", target, body))
+    result = asyncio.run(run_load(SHAPE, seed, f"{seed}/{path}", target, body))
     whole = [a for a in result.answers if a.outcome is Outcome.WHOLE]
     if len(whole) != len(result.answers):
         raise SystemExit(f"{len(result.answers) - len(whole)} answers are incomplete")
-    # Prompts of the warm-up are excluded: the engine computes their prefixes, which
-    # takes longer than all that the router does.
+    # Prompts of the warm-up are excluded: the engine computes their prefixes, so
+    # their times show nothing about the router.
     warm = [a for a in whole if is_warm(a)]
     gaps = [gap for a in warm for gap in a.chunk_gaps]
     return Timing(percentiles([a.ttft_s for a in warm])[0], percentiles(gaps)[0])
@@ -103,19 +103,19 @@
         "| way | TTFT ms | between chunks ms |",
         "| --- | --- | --- |",
     ]
-    for way, way_timings in timings.items():
-        firsts = _median_and_range([t.ttft_s for t in way_timings])
-        gaps = _median_and_range([t.gap_s for t in way_timings])
-        lines.append(f"| {way} | {firsts} | {gaps} |")
+    for path, path_timings in timings.items():
+        ttfts = _median_and_range([t.ttft_s for t in path_timings])
+        gaps = _median_and_range([t.gap_s for t in path_timings])
+        lines.append(f"| {path} | {ttfts} | {gaps} |")
     first, gap = _ratio(timings, "ttft_s"), _ratio(timings, "gap_s")
     lines.append(f"| router / direct | {first} | {gap} |")
     return "\n".join(lines) + "\n"
 
 
 def _median_and_range(seconds: Sequence[float]) -> str:
-    shown = [statistics.median(seconds), min(seconds), max(seconds)]
-    middle, low, high = (f"{value * 1e3:.2f}" for value in shown)
-    return f"{middle} ({low}–{high})"
+    values = [statistics.median(seconds), min(seconds), max(seconds)]
+    median, low, high = (f"{value * 1e3:.2f}" for value in values)
+    return f"{median} ({low}–{high})"
 
 
 def _ratio(timings: dict[str, list[Timing]], field: str) -> str:
@@ -123,8 +123,8 @@
         getattr(routed, field) / getattr(direct, field)
         for direct, routed in zip(timings["direct"], timings["router"])
     ]
-    middle = statistics.median(ratios)
-    return f"{middle:.2f} ({min(ratios):.2f}–{max(ratios):.2f})"
+    median = statistics.median(ratios)
+    return f"{median:.2f} ({min(ratios):.2f}–{max(ratios):.2f})"
 
 
 if __name__ == "__main__":
--- a/measure/run.py
+++ b/measure/run.py
@@ -123,12 +123,12 @@
     if not site.direct:
         site.restore()
         site.use_policy(policy)
-    site.new_records()
+    site.read_new_records()
     # The policy is part of the salt: a run must not use what the previous one cached.
     salt = f"{seed}/{policy}"
     result = asyncio.run(_load_with_failure(site, seed, salt, failure))
     time.sleep(RECORD_DELAY_S)
-    engines, services = site.new_records()
+    engines, services = site.read_new_records()
     deployment = site.deployment
     memory = deployment.cache_tokens * deployment.engines
     return compute_figures(result, memory, CACHE_TTL_S, engines, services)
--- a/measure/site.py
+++ b/measure/site.py
@@ -124,7 +124,7 @@
             urls = tuple(self.fleet.entry_url(name) for name in self.fleet.entries)
         return Target(urls, ENGINE_PROFILE, SERVICE_PROFILE, self._keys, self.direct)
 
-    def new_records(self) -> tuple[list[dict[str, Any]], list[dict[str, Any]]]:
+    def read_new_records(self) -> tuple[list[dict[str, Any]], list[dict[str, Any]]]:
         """Return what engines and services have recorded since the last call."""
         engines = [self._new_record(name, "requests") for name in self.engines]
         services = [self._new_record(name, "runs") for name in self.services]
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -36,7 +36,7 @@
 
 SETTLE_S = 4.0  # time for the process to reach a steady state before the window
 MEASURE_WINDOW_S = 8.0
-RECORDS = 400
+SHARED_RECORDS = 400
 WORKSPACES = 1_800
 PROFILES = 9
 CACHED_BLOCKS = 30_000
@@ -66,7 +66,7 @@
 
 async def repeated_records(subject: Subject, size: int) -> Usage:
     """Receive the same 400 upstreams from one peer, then from ``size`` others."""
-    first = Peers(1, ENTRY_ROLE, subject.address, RECORDS, "first")
+    first = Peers(1, ENTRY_ROLE, subject.address, SHARED_RECORDS, "first")
     async with first, Peers(size, ENTRY_ROLE, subject.address, prefix="other"):
         # The others receive the records from the subject and then announce them too.
         return await _settled_usage(subject)
@@ -95,7 +95,7 @@
 async def changes(subject: Subject, size: int) -> Usage:
     """Receive ``size`` revisions per ten seconds, each of 1,800 workspaces."""
     async with Peers(1, ENTRY_ROLE, subject.address) as peers:
-        task = asyncio.create_task(_revise(peers.all[0], size / 10))
+        task = asyncio.create_task(_send_revisions(peers.all[0], size / 10))
         try:
             return await _settled_usage(subject)
         finally:
@@ -117,10 +117,11 @@
 async def committed_changes(subject: Subject, size: int) -> Usage:
     """Commit ``size`` changes by operators per ten seconds, with 1,800 workspaces.
 
-    Each change reads the whole configuration first, as a careful operator does.
+    Each change comes with a read of the whole configuration, as a careful operator
+    makes it.
     """
     await _declare(subject, WORKSPACES, PROFILES)
-    task = asyncio.create_task(_change(subject, size / 10))
+    task = asyncio.create_task(_send_changes(subject, size / 10))
     try:
         return await _settled_usage(subject)
     finally:
@@ -131,7 +132,7 @@
 async def claims(subject: Subject, size: int) -> Usage:
     """Commit ``size`` claims per second."""
     channel = RpcChannel(subject.address, FLEET_TOKEN)
-    task = asyncio.create_task(_claim(channel, size))
+    task = asyncio.create_task(_send_claims(channel, size))
     try:
         return await _settled_usage(subject)
     finally:
@@ -141,15 +142,15 @@
 
 async def cache_events(subject: Subject, size: int) -> Usage:
     """Follow ``size`` cache events per second of a cache of 30,000 blocks."""
-    return await _follow(subject, EventSource(size, CACHED_BLOCKS))
+    return await _serve_and_measure(subject, EventSource(size, CACHED_BLOCKS))
 
 
 async def cached_blocks(subject: Subject, size: int) -> Usage:
     """Track ``size`` cached blocks, of which 50 are replaced per second."""
-    return await _follow(subject, EventSource(EVENTS_PER_S, size))
+    return await _serve_and_measure(subject, EventSource(EVENTS_PER_S, size))
 
 
-async def _follow(subject: Subject, source: EventSource) -> Usage:
+async def _serve_and_measure(subject: Subject, source: EventSource) -> Usage:
     server = AppServer(source.app(), subject.upstream_host, UPSTREAM_HTTP)
     await server.start()
     try:
@@ -163,7 +164,7 @@
     return await subject.usage(MEASURE_WINDOW_S)
 
 
-async def _revise(peer: Peer, rate: float) -> None:
+async def _send_revisions(peer: Peer, rate: float) -> None:
     base = config(1, WORKSPACES, PROFILES)
     revision = 1
     while rate > 0:
@@ -181,7 +182,7 @@
     )
 
 
-async def _change(subject: Subject, rate: float) -> None:
+async def _send_changes(subject: Subject, rate: float) -> None:
     loop = asyncio.get_running_loop()
     due = loop.time()
     for number in itertools.count():
@@ -194,7 +195,7 @@
         await asyncio.to_thread(subject.fleet.declare, (), (workspace,))
 
 
-async def _claim(channel: RpcChannel, rate: int) -> None:
+async def _send_claims(channel: RpcChannel, rate: int) -> None:
     loop = asyncio.get_running_loop()
     holder = Holder("request", 0, "sidecar", "127.0.0.1:1", "1")
     due = loop.time()
@@ -244,7 +245,7 @@
     """Run the experiments (of one role or unit if given) and print the fits."""
     chosen = [e for e in EXPERIMENTS if role in e.role and unit in e.unit]
     commit_id()
-    began = time.monotonic()
+    started_at = time.monotonic()
     lines = [
         "| role | unit | sizes | CPU ms/s per unit | CPU fit R² | RSS kB per unit |"
         " RSS fit R² | at size 0: CPU ms/s, RSS MB |",
@@ -256,7 +257,7 @@
     print(
         f"\nCommit {commit_id()}; slope (least–greatest with one point left out);"
         f" {MEASURE_WINDOW_S:g} s a point, {repeats} points a size; took"
-        f" {time.monotonic() - began:.0f} s; load average at the end"
+        f" {time.monotonic() - started_at:.0f} s; load average at the end"
         f" {os.getloadavg()[0]:.1f} on {os.cpu_count()} cores.\n"
     )
     print("\n".join(lines))
--- a/measure/stand_in_engine.py
+++ b/measure/stand_in_engine.py
@@ -15,7 +15,7 @@
 from gooseberrydale.example.cache_feed import CacheEvent
 from gooseberrydale.example.http_json import json_response
 
-BATCH_S = 0.05
+BATCH_INTERVAL_S = 0.05
 INCARNATION = "1"
 
 
@@ -67,8 +67,8 @@
         loop = asyncio.get_running_loop()
         started_at, first_seq = loop.time(), self._seq
         for batch in itertools.count(1):
-            await asyncio.sleep(started_at + batch * BATCH_S - loop.time())
-            due_seq = first_seq + int(self._rate * batch * BATCH_S)
+            await asyncio.sleep(started_at + batch * BATCH_INTERVAL_S - loop.time())
+            due_seq = first_seq + int(self._rate * batch * BATCH_INTERVAL_S)
             events = [self._next() for _ in range(due_seq - self._seq)]
             if events:
                 yield b"".join(events)
--- a/measure/table.py
+++ b/measure/table.py
@@ -72,13 +72,13 @@
 
 def _median_and_range(column: Column, figures: Sequence[Figures]) -> str:
     values = [column.value(f) for f in figures]
-    middle, low, high = statistics.median(values), min(values), max(values)
-    shown = [column.number_format.format(value) for value in (middle, low, high)]
-    return f"{shown[0]} ({shown[1]}–{shown[2]})"
+    median, low, high = statistics.median(values), min(values), max(values)
+    cells = [column.number_format.format(value) for value in (median, low, high)]
+    return f"{cells[0]} ({cells[1]}–{cells[2]})"
 
 
 def _ratios(runs: Mapping[str, Sequence[Figures]], product: str) -> list[str]:
-    shown = []
+    cells = []
     for column in COLUMNS:
         medians = {
             policy: statistics.median(column.value(f) for f in figures)
@@ -86,11 +86,11 @@
         }
         baselines = [value for policy, value in medians.items() if policy != product]
         if product not in medians or not baselines or column.better is None:
-            shown.append("–")
+            cells.append("–")
             continue
         best = column.better(baselines)
-        shown.append(f"{medians[product] / best:.2f}" if best else "–")
-    return shown
+        cells.append(f"{medians[product] / best:.2f}" if best else "–")
+    return cells
 
 
 def _markdown(titles: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
--- a/measure/workload.py
+++ b/measure/workload.py
@@ -26,8 +26,8 @@
     Requests of the first ``warm_up_s`` seconds count only for the outcomes, since the
     caches are empty then under any policy.  ``lots`` is the number of lots of a
     workspace of weight 1.  A share ``hot_share`` of the prompts goes to ``hot_lots``
-    lots, which change every ``shift_s`` seconds.  ``calls_per_s`` is the rate of service calls, and
-    ``keyed_share`` the share of them with an Idempotency-Key.
+    lots, which change every ``shift_s`` seconds.  ``calls_per_s`` is the rate of
+    service calls, and ``keyed_share`` the share of them with an Idempotency-Key.
     """
 
     duration_s: float = 16.0
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -35,7 +35,7 @@
     assert cache.match(pieces(asked), 1.0) == cached
 
 
-def test_the_cache_drops_the_innermost_piece_of_the_oldest_prompt_first():
+def test_the_cache_evicts_the_last_piece_of_the_oldest_prompt_first():
     cache = PrefixCache(400, 60.0)
     cache.store(pieces("abc"), "root", 0.0)
     change = cache.store(pieces("xy"), "root", 1.0)
--- a/tests/test_measure.py
+++ b/tests/test_measure.py
@@ -40,8 +40,8 @@
 
 
 def call(name: str, outcome: Outcome, not_run: bool | None = None) -> CallAnswer:
-    made = ServiceCall(0.0, name, 0, keyed=True)
-    return CallAnswer(made, name.encode(), outcome, not_run=not_run)
+    service_call = ServiceCall(0.0, name, 0, keyed=True)
+    return CallAnswer(service_call, name.encode(), outcome, not_run=not_run)
 
 
 def service_record(*names: str) -> dict[str, object]:
@@ -63,13 +63,13 @@
 
 def test_a_load_is_the_same_for_a_seed_and_its_texts_differ_by_salt():
     shape = Shape(duration_s=20.0)
-    one, again = prompts(shape, "1", "a"), prompts(shape, "1", "a")
+    load, repeated = prompts(shape, "1", "a"), prompts(shape, "1", "a")
     other = prompts(shape, "1", "b")
-    assert one == again
-    assert [(a.due_s, a.workspace) for a in one] == [
+    assert load == repeated
+    assert [(a.due_s, a.workspace) for a in load] == [
         (a.due_s, a.workspace) for a in other
     ]
-    assert not {a.guide for a in one} & {a.guide for a in other}
+    assert not {a.guide for a in load} & {a.guide for a in other}
     assert [c.due_s for c in calls(shape, "1", "a")] != [
         c.due_s for c in calls(shape, "2", "a")
     ]
@@ -275,9 +275,9 @@
     line = fit([0, 1, 2, 3], [5.0, 7.0, 9.0, 11.0])
     assert (line.slope, line.intercept, line.r2) == pytest.approx((2.0, 5.0, 1.0))
     assert (line.low, line.high) == pytest.approx((2.0, 2.0))
-    bent = fit([0, 1, 2, 3], [0.0, 0.0, 0.0, 9.0])
-    assert bent.r2 < 0.7
-    assert bent.low == 0.0 < bent.slope < bent.high
+    noisy = fit([0, 1, 2, 3], [0.0, 0.0, 0.0, 9.0])
+    assert noisy.r2 < 0.7
+    assert noisy.low == 0.0 < noisy.slope < noisy.high
 
 
 def test_a_fit_needs_three_sizes():
