--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -2,7 +2,7 @@
 
 ``python -m measure.slopes`` runs single role processes at several sizes and fits
 straight lines to their CPU time and memory.  Their peers are fakes that only use the
-mesh protocol (see ``stand_ins``).  For a unit with a rate, such as a change, the slope
+mesh protocol (see ``fake_peers``).  For a unit with a rate, such as a change, the slope
 of the CPU time is CPU seconds per unit.  For a unit of state, such as an upstream, it
 is CPU seconds per second and unit.  The memory of a rate is what has accumulated after
 twelve seconds (SETTLE_S and MEASURE_WINDOW_S).  docs/CAPACITY.md multiplies the slopes
