--- a/soak/field.py
+++ b/soak/field.py
@@ -43,8 +43,9 @@
 class Environment:
     """A fleet whose processes connect to each other through relays.
 
-    ``attempted`` and ``acknowledged`` are the workspaces that were added while faults
-    were injected; ``drain_failures`` are processes that did not exit with 0.
+    ``attempted`` lists the workspaces that the faults tried to add, ``acknowledged``
+    those of them that the control replicas acknowledged.  ``drain_failures`` describes
+    the drains that did not end with exit code 0.
     """
 
     def __init__(self, folder: pathlib.Path, load: Load) -> None:
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -129,7 +129,7 @@
 
 
 def _check_bids(environment: Environment, bids: dict[int, Ending]) -> Iterator[str]:
-    """Check that each bid ran at most once, and as often as its caller was informed."""
+    """Check that each bid ran at most once and that its answer agrees with its runs."""
     fleet = environment.fleet
     names = [name for name, spec in fleet.upstreams.items() if spec.pool == BIDS]
     runs = [run for name in names for run in fleet.runs(name)]
