--- a/measure/fit.py
+++ b/measure/fit.py
@@ -23,7 +23,7 @@
 
 
 def fit(xs: Sequence[float], ys: Sequence[float]) -> Line:
-    """Return the least-squares line; raise ValueError for under three distinct x."""
+    """Return the least-squares line; raise ValueError for fewer than 3 distinct x."""
     if len(set(xs)) < 3:
         raise ValueError("a fit needs points at three or more distinct sizes")
     slope, intercept = statistics.linear_regression(xs, ys)
