--- a/gooseberrydale/process/gateway/app.py
+++ b/gooseberrydale/process/gateway/app.py
@@ -25,11 +25,11 @@
 )
 from gooseberrydale.log_events import RequestEnded, emit
 from gooseberrydale.process.gateway.answer import CallerAnswer
-from gooseberrydale.process.gateway.assignment import RoutedRequest, want_of
 from gooseberrydale.process.gateway.declared_store import DeclaredStore
 from gooseberrydale.process.gateway.forward import BrokenAnswerError, Forwarder
-from gooseberrydale.process.gateway.measures import RequestMetrics
+from gooseberrydale.process.gateway.request_metrics import RequestMetrics
 from gooseberrydale.process.gateway.retry_budgets import RetryBudgets
+from gooseberrydale.process.gateway.routed_request import RoutedRequest, want_of
 from gooseberrydale.process.gateway.send import SendDeps
 from gooseberrydale.process.gateway.terms import TermsMaker
 from gooseberrydale.process.quota_charge import QuotaCharge, refusal_of
--- a/gooseberrydale/process/gateway/forward.py
+++ b/gooseberrydale/process/gateway/forward.py
@@ -19,13 +19,13 @@
 )
 from gooseberrydale.log_events import RequestQuarantined, SendEnded, StreamMoved, emit
 from gooseberrydale.process.gateway.answer import CallerAnswer
-from gooseberrydale.process.gateway.assignment import RoutedRequest
-from gooseberrydale.process.gateway.measures import RequestMetrics
-from gooseberrydale.process.gateway.placing import (
+from gooseberrydale.process.gateway.placer import (
     NoCapacityError,
     Placer,
     QuarantinedError,
 )
+from gooseberrydale.process.gateway.request_metrics import RequestMetrics
+from gooseberrydale.process.gateway.routed_request import RoutedRequest
 from gooseberrydale.process.gateway.send import SendDeps, Sender
 from gooseberrydale.process.gateway.terms import TermsMaker
 from gooseberrydale.process.quota_charge import QuotaCharge
--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -24,9 +24,12 @@
 from gooseberrydale.process.gateway.app import GatewayApp, GatewayDeps
 from gooseberrydale.process.gateway.declared_store import DeclaredStore, DecodeDocument
 from gooseberrydale.process.gateway.front_protocol import front_protocol
-from gooseberrydale.process.gateway.measures import DisabledMetrics, RecordedMetrics
-from gooseberrydale.process.gateway.placing import ObservedStats
+from gooseberrydale.process.gateway.placer import ObservedStats
 from gooseberrydale.process.gateway.prober import Prober
+from gooseberrydale.process.gateway.request_metrics import (
+    DisabledMetrics,
+    RecordedMetrics,
+)
 from gooseberrydale.process.gateway.retry_budgets import RetryBudgets
 from gooseberrydale.process.gateway.send import SendDeps
 from gooseberrydale.process.gateway.store_follower import (
--- a/gooseberrydale/process/gateway/placing.py
+++ b/gooseberrydale/process/gateway/placer.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, replace
 
 from gooseberrydale.connection.mesh import UpstreamRecord
-from gooseberrydale.process.gateway.assignment import RoutedRequest
+from gooseberrydale.process.gateway.routed_request import RoutedRequest
 from gooseberrydale.process.gateway.upstreams import UpstreamQuery, Upstreams, demand_of
 from gooseberrydale.request.hold_policy import (
     Goal,
--- a/gooseberrydale/process/gateway/prober.py
+++ b/gooseberrydale/process/gateway/prober.py
@@ -18,7 +18,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.connection.upstream_reply import UpstreamError
 from gooseberrydale.log_events import UpstreamSilent, emit
-from gooseberrydale.process.gateway.observed_incarnation import reached, suspect
+from gooseberrydale.process.gateway.upstream_health import reached, suspect
 from gooseberrydale.process.gateway.upstreams import Upstreams
 
 POLL_INTERVAL_S = 0.1
--- a/gooseberrydale/process/gateway/send.py
+++ b/gooseberrydale/process/gateway/send.py
@@ -17,9 +17,9 @@
 from gooseberrydale.connection.sse import EventCutter, SseError
 from gooseberrydale.connection.upstream_reply import UpstreamError
 from gooseberrydale.process.gateway.answer import HOP_BY_HOP_HEADERS, CallerAnswer
-from gooseberrydale.process.gateway.assignment import RoutedRequest
-from gooseberrydale.process.gateway.observed_incarnation import answered, suspect
-from gooseberrydale.process.gateway.placing import ObservedStats
+from gooseberrydale.process.gateway.placer import ObservedStats
+from gooseberrydale.process.gateway.routed_request import RoutedRequest
+from gooseberrydale.process.gateway.upstream_health import answered, suspect
 from gooseberrydale.process.gateway.upstreams import Upstreams
 from gooseberrydale.process.quota_charge import QuotaCharge
 from gooseberrydale.request.attempt_end import End
--- a/gooseberrydale/process/gateway/terms.py
+++ b/gooseberrydale/process/gateway/terms.py
@@ -10,8 +10,8 @@
 from dataclasses import replace
 
 from gooseberrydale.connection.mesh import UpstreamRecord
-from gooseberrydale.process.gateway.assignment import RoutedRequest
-from gooseberrydale.process.gateway.save_memory import RecentSaves
+from gooseberrydale.process.gateway.recent_saves import RecentSaves
+from gooseberrydale.process.gateway.routed_request import RoutedRequest
 from gooseberrydale.process.gateway.upstreams import (
     Upstreams,
     cache_salt,
--- a/tests/builders_gateway.py
+++ b/tests/builders_gateway.py
@@ -303,7 +303,7 @@
 
 
 @dataclass(frozen=True)
-class Got:
+class ReceivedAnswer:
     """The answer that a caller received; ``whole`` is False if it was cut off."""
 
     status: int
@@ -321,7 +321,7 @@
     key: str | None = KEY,
     request_id: str = "r1",
     extra: str = "",
-) -> Got:
+) -> ReceivedAnswer:
     """Send one request on a connection of its own; return the answer."""
     host, _, port = gateway.addresses["http"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -336,7 +336,7 @@
         writer.close()
 
 
-async def read_answer(reader: asyncio.StreamReader) -> Got:
+async def read_answer(reader: asyncio.StreamReader) -> ReceivedAnswer:
     """Read an answer until it is complete or its connection ends."""
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head.decode().strip().split("\r\n")
@@ -348,9 +348,9 @@
     if "content-length" in headers:
         size = int(headers["content-length"])
         data = await reader.read(-1) if size else b""
-        return Got(status, headers, data[:size], len(data) >= size)
+        return ReceivedAnswer(status, headers, data[:size], len(data) >= size)
     data = await reader.read(-1)
-    return Got(status, headers, unchunked(data), data.endswith(b"0\r\n\r\n"))
+    return ReceivedAnswer(status, headers, unchunked(data), data.endswith(b"0\r\n\r\n"))
 
 
 def unchunked(data: bytes) -> bytes:
@@ -364,6 +364,6 @@
     return b"".join(parts)
 
 
-def plain(got: Got) -> Any:
+def json_body(got: ReceivedAnswer) -> Any:
     """Return the body as decoded JSON."""
     return json.loads(got.body)
--- a/tests/test_ended_upstreams.py
+++ b/tests/test_ended_upstreams.py
@@ -28,7 +28,7 @@
     Deployment,
     deployment,
 )
-from tests.builders_gateway import HOST, call, declared, plain, route
+from tests.builders_gateway import HOST, call, declared, json_body, route
 from tests.builders_mesh import Member, until
 from tests.sidecar_bench import run
 
@@ -86,7 +86,7 @@
             got = await call(fleet.gateways[0], body=HARMFUL, request_id="last")
             assert loop.time() - began < 0.2
             assert got.status == 503 and "retry-after" not in got.headers
-            error = plain(got)["error"]
+            error = json_body(got)["error"]
             assert (error["code"], error["not_run"]) == ("ends_upstreams", True)
             digest = shown(fingerprint("a", "POST", HOST, "/calls/1", HARMFUL))
             assert digest in error["message"] and "3 upstreams" in error["message"]
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -27,7 +27,7 @@
     chunk,
     declared,
     event,
-    plain,
+    json_body,
     read_answer,
     record,
     reset,
@@ -186,7 +186,7 @@
             got = await call(gateway, extra="Wait: 0.2")
             assert not gateway.is_ready
         assert got.status == 503
-        assert plain(got)["error"]["not_run"] is True
+        assert json_body(got)["error"]["not_run"] is True
         assert float(got.headers["retry-after"]) > 0
 
     run(main())
@@ -337,7 +337,7 @@
             began = loop.time()
             got = await call(gateway)
             took_s = loop.time() - began
-        assert (got.status, plain(got)["error"]["not_run"]) == (504, None)
+        assert (got.status, json_body(got)["error"]["not_run"]) == (504, None)
         assert 0.3 <= took_s < 0.55
 
     run(main())
@@ -349,7 +349,7 @@
             now = asyncio.get_running_loop().time()
             gateway.directory.offer(record("u1", address="127.0.0.1:1"), now)
             got = await call(gateway)
-        assert (got.status, plain(got)["error"]["not_run"]) == (503, True)
+        assert (got.status, json_body(got)["error"]["not_run"]) == (503, True)
 
     run(main())
 
--- a/tests/test_gateway_views.py
+++ b/tests/test_gateway_views.py
@@ -7,8 +7,8 @@
 import pytest
 
 from gooseberrydale.process.cfg import GatewayCfg
+from gooseberrydale.process.gateway.recent_saves import SAVE_TIMEOUT_S, RecentSaves
 from gooseberrydale.process.gateway.retry_budgets import RetryBudgets
-from gooseberrydale.process.gateway.save_memory import SAVE_TIMEOUT_S, RecentSaves
 from gooseberrydale.process.gateway.upstreams import UpstreamQuery, Upstreams, demand_of
 from gooseberrydale.request.gateway_call import Prompt, PromptPart, ReportedLoad
 from gooseberrydale.request.placement import (
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -10,14 +10,14 @@
 import pytest
 
 from gooseberrydale.connection.mesh import UpstreamRecord
-from gooseberrydale.process.gateway.assignment import RoutedRequest
-from gooseberrydale.process.gateway.placing import (
+from gooseberrydale.process.gateway.placer import (
     NoCapacityError,
     ObservedStats,
     Placement,
     Placer,
     QuarantinedError,
 )
+from gooseberrydale.process.gateway.routed_request import RoutedRequest
 from gooseberrydale.process.gateway.upstreams import UpstreamQuery
 from gooseberrydale.request.gateway_call import CallerCall, Prompt
 from gooseberrydale.request.hold_policy import LATE_HOLD_S, POLL_INTERVAL_S
--- a/tests/test_signpost.py
+++ b/tests/test_signpost.py
@@ -7,11 +7,11 @@
 
 from gooseberrydale.process.cfg import Cfg, ControlCfg, FleetCfg, NodeCfg
 from gooseberrydale.process.control.signpost import CHECK_VALIDITY_S, Signpost
-from tests.builders_gateway import Got, free_port, read_answer
+from tests.builders_gateway import ReceivedAnswer, free_port, read_answer
 from tests.sidecar_bench import run
 
 
-async def post(signpost: Signpost, target: str) -> Got:
+async def post(signpost: Signpost, target: str) -> ReceivedAnswer:
     """Send a POST request for ``target`` to ``signpost``; return the answer."""
     host, _, port = signpost.addresses["http"].rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
--- a/tests/test_upstream_backoff.py
+++ b/tests/test_upstream_backoff.py
@@ -12,7 +12,7 @@
     answer_bytes,
     call,
     declared,
-    plain,
+    json_body,
     record,
     route,
     running_gateway,
@@ -106,7 +106,7 @@
             got = await call(gateway, request_id="r2")
             assert loop.time() - began < 0.2
             assert got.status == 503 and float(got.headers["retry-after"]) > 0.0
-            error = plain(got)["error"]
+            error = json_body(got)["error"]
             assert (error["code"], error["not_run"]) == ("no_room", True)
             assert len(busy.arrivals) == 1
 
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -12,7 +12,7 @@
     answer_bytes,
     call,
     declared,
-    plain,
+    json_body,
     route,
     running_gateway,
 )
@@ -81,7 +81,7 @@
             got = await call(gateway, request_id="r2")
             assert loop.time() - began < 0.2
             assert got.status == 503 and float(got.headers["retry-after"]) > 0.0
-            error = plain(got)["error"]
+            error = json_body(got)["error"]
             assert (error["code"], error["not_run"]) == ("no_room", True)
             assert len(limited.arrivals) == 1
 
