--- a/gooseberrydale/connection/area_gossip.py
+++ b/gooseberrydale/connection/area_gossip.py
@@ -16,8 +16,8 @@
 from gooseberrydale.connection.work_gossip import FULL_REPORT_INTERVAL_S, LocalWork
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.peer_loads import (
-    ELSEWHERE,
-    FORGET_S,
+    OTHER_ZONES,
+    REPORT_RETENTION_S,
     AreaReport,
     PeerLoads,
     Summary,
@@ -89,11 +89,11 @@
 
     def _update_relay(self, fleet: Fleet, now: float) -> None:
         alive: Iterable[str] = self._loads.gateways
-        if now < self._started_at + FORGET_S:
+        if now < self._started_at + REPORT_RETENTION_S:
             # After the start, not every gateway has had time to report.
             alive = [gateway.name for gateway in fleet.near]
         near = len(fleet.near)
-        self._loads.note_unheard(len(fleet.others) - near, near)
+        self._loads.note_unreported(len(fleet.others) - near, near)
         is_relay = fleet.relay(set(alive)) == fleet.own.name
         if is_relay != self._is_relay:
             self._is_relay = is_relay
@@ -110,7 +110,9 @@
         report = self._far_sums.next(fleet.own.zone, name, zone, now)
         if report is not None:
             self._datagrams.send(report, self._far_relays(fleet, now))
-        report = self._near_sums.next(ELSEWHERE, name, self._loads.elsewhere(now), now)
+        report = self._near_sums.next(
+            OTHER_ZONES, name, self._loads.elsewhere(now), now
+        )
         if report is not None:
             self._datagrams.send(report, fleet.near)
 
@@ -129,9 +131,9 @@
     def _receive(self, report: AreaReport) -> None:
         now = asyncio.get_running_loop().time()
         # A relay merges reports of single zones; the other gateways merge their sum.
-        if self._is_relay == (report.area == ELSEWHERE):
+        if self._is_relay == (report.area == OTHER_ZONES):
             return
-        if self._loads.take_area(report, now):
+        if self._loads.merge_area(report, now):
             self._last_reports[report.area] = report.relay, now
             self._view.peer_refused(report.refusing, now)
             self._view.peer_silent(report.silent, now)
--- a/gooseberrydale/connection/limit_gossip.py
+++ b/gooseberrydale/connection/limit_gossip.py
@@ -46,7 +46,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(LOOK_S)
-            report = self._limits.due(loop.time())
+            report = self._limits.next_report(loop.time())
             if report is not None:
                 self._relay_index = (self._relay_index + 1) % RELAYS_PER_ZONE
                 self._datagrams.spread(report, self._relay_index)
--- a/gooseberrydale/connection/work_gossip.py
+++ b/gooseberrydale/connection/work_gossip.py
@@ -107,7 +107,7 @@
         if report.name == self._name:
             return
         now = asyncio.get_running_loop().time()
-        if self._loads.take(report, now):
+        if self._loads.merge(report, now):
             self._view.peer_refused(report.refusing, now)
             self._view.peer_silent(report.silent, now)
 
--- a/gooseberrydale/process/control/announcements.py
+++ b/gooseberrydale/process/control/announcements.py
@@ -22,9 +22,9 @@
 from gooseberrydale.process.control.tasks import spawn, stop
 from gooseberrydale.version.directory import MAX_LEASE_S, Directory
 from gooseberrydale.version.upstream_incarnation import (
+    announced_incarnation,
     born_ms,
     incarnation_after,
-    incarnation_told,
 )
 
 HEARTBEATS_PER_LEASE = 15
@@ -66,7 +66,7 @@
         seq = record.seq * SEQS_PER_HEARTBEAT
         record = replace(record, seq=seq, lease_s=self._lease_s)
         newest = self._directory.newest_incarnation(record.name)
-        incarnation = incarnation_told(newest, born)
+        incarnation = announced_incarnation(newest, born)
         if incarnation is None:
             emit(EarlierIncarnation(record.name, born or 0, born_ms(newest) or 0))
             self._check_clock(record, born)
--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -55,13 +55,13 @@
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.mean_work import MeanWork
-from gooseberrydale.version.patience import Patience
 from gooseberrydale.version.peer_loads import PeerLoads
 from gooseberrydale.version.quotas.quota import Quota
 from gooseberrydale.version.run_times import RunTimes
 from gooseberrydale.version.store_followers import StoreTidings
 from gooseberrydale.version.stores import Stores
 from gooseberrydale.version.upstream_limits import UpstreamLimits
+from gooseberrydale.version.wait_limits import WaitLimits
 
 if TYPE_CHECKING:
     from gooseberrydale.process.instruments import Level
@@ -204,7 +204,7 @@
             dialect.wire,
             self._upstreams,
             self._conns,
-            ObservedStats(RunTimes(), MeanWork(), Patience()),
+            ObservedStats(RunTimes(), MeanWork(), WaitLimits()),
             self._gossip.changed,
             self._connections,
         )
--- a/gooseberrydale/process/gateway/placer.py
+++ b/gooseberrydale/process/gateway/placer.py
@@ -30,8 +30,8 @@
     queue_s,
 )
 from gooseberrydale.version.mean_work import MeanWork
-from gooseberrydale.version.patience import Patience
 from gooseberrydale.version.run_times import RunTimes
+from gooseberrydale.version.wait_limits import WaitLimits
 
 HOLD_S = 0.8
 """How long a request waits for a usable upstream at most.  A change of weights ends
@@ -51,7 +51,7 @@
 
     run_times: RunTimes
     mean_work: MeanWork
-    patience: Patience
+    patience: WaitLimits
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +99,7 @@
         self._demand: Demand = replace(demand_of(job.call.prompt), run_s=run_s)
         self._prior_wait_s = 0.0
         if self._demand.is_prompt:
-            self._prior_wait_s = stats.patience.waited_before_s(
+            self._prior_wait_s = stats.patience.prior_wait_s(
                 job.route.name, job.call.wait_s
             )
         self._mean_tokens: float | None = None
--- a/gooseberrydale/process/gateway/prober.py
+++ b/gooseberrydale/process/gateway/prober.py
@@ -73,13 +73,13 @@
         try:
             conn = await HttpConn.open(record.address)
         except UpstreamError as exc:
-            is_dead = silence.unanswered(loop.time())
+            is_dead = silence.probe_failed(loop.time())
             if is_dead or exc.refused:
                 self._upstreams.ended(record.name, load, loop.time(), str(exc))
             if not is_dead:
                 return
             suspect(record.name, load, loop.time(), str(exc))
-            broken = silence.give_up()
+            broken = silence.abort_all()
             emit(UpstreamSilent(record.name, round(silent_ms, 1), broken))
             self._changed()
             return
--- a/gooseberrydale/process/gateway/send.py
+++ b/gooseberrydale/process/gateway/send.py
@@ -202,7 +202,7 @@
         self._charge.sent()
         self._run = load.runs.began(job.fingerprint)
         raw = await conn.head(self._is_own_answer)
-        load.silence.heard(_now())
+        load.silence.note_received(_now())
         head = wire.read_answer(raw.status, raw.headers)
         if head.load is not None:
             load.reported(head.load, _now())
@@ -283,7 +283,7 @@
             # A resumed answer may differ in length from the one first announced.
             headers = tuple(h for h in headers if h[0] != b"content-length")
         async for data in conn.body():
-            load.silence.heard(_now())
+            load.silence.note_received(_now())
             self._note_first_chunk(load, work)
             if not self._answer.started:
                 await self._answer.start(head.status, headers)
@@ -306,7 +306,7 @@
             self._prefilled = True
             if self._run is not None:
                 self._run.answering = True
-            load.first_part(work)
+            load.prefill_done(work)
             self._deps.work_changed()
 
     async def _write_events(self, cutter: EventCutter, data: bytes) -> None:
--- a/gooseberrydale/process/gateway/store_follower.py
+++ b/gooseberrydale/process/gateway/store_follower.py
@@ -24,14 +24,14 @@
 )
 from gooseberrydale.process.gateway.declared_store import DeclaredStore
 from gooseberrydale.version.store_followers import (
-    RELAY_SILENT_S,
-    Part,
+    RELAY_TIMEOUT_S,
+    Role,
     StoreTidings,
-    lane_of,
-    part_of,
-    tidings,
+    relay_index,
+    role_of,
+    store_messages,
 )
-from gooseberrydale.version.store_view import StoreNews, StoreView
+from gooseberrydale.version.store_view import StoreUpdate, StoreView
 from gooseberrydale.version.stores import Stores
 
 POLL_INTERVAL_S = 0.25
@@ -56,7 +56,7 @@
 class FollowReply:
     """Changes of a store, and the event number to ask for next."""
 
-    update: StoreNews
+    update: StoreUpdate
     next: int
 
 
@@ -166,30 +166,30 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     def receive(self, message: StoreTidings) -> None:
-        if self._role() is not Part.LISTEN:
+        if self._role() is not Role.LISTEN:
             return
         self._received_at = asyncio.get_running_loop().time()
         if message.up:
-            self._apply(StoreNews(message.incarnation, message.events))
+            self._apply(StoreUpdate(message.incarnation, message.events))
         else:
             self._mark_lost()
 
-    def _role(self) -> Part:
+    def _role(self) -> Role:
         links = self._peers.links()
-        return part_of(self._peers.own, links, self._view.address)
+        return role_of(self._peers.own, links, self._view.address)
 
     async def _run(self) -> None:
         while True:
             role = self._role()
-            if role is Part.LISTEN:
+            if role is Role.LISTEN:
                 await self._listen()
             else:
-                await self._follow(relay=role is Part.RELAY)
+                await self._follow(relay=role is Role.RELAY)
 
     async def _listen(self) -> None:
         """Read the complete list, then depend on relays until they fall silent."""
         now = asyncio.get_running_loop().time()
-        if self._listed and now < self._received_at + RELAY_SILENT_S:
+        if self._listed and now < self._received_at + RELAY_TIMEOUT_S:
             await asyncio.sleep(POLL_INTERVAL_S)
             return
         await asyncio.sleep(self._peers.rng.uniform(0.0, LIST_READ_SPREAD_S))
@@ -212,7 +212,7 @@
             return
         if reply is None:
             if relay:
-                self._relay(StoreNews("", ()), up=False)
+                self._relay(StoreUpdate("", ()), up=False)
             await asyncio.sleep(LOST_PAUSE_S)
             return
         if reply.update.missed:
@@ -223,7 +223,9 @@
         self._apply(reply.update)
         if relay:
             # Gateways that depend on relays have read the list themselves.
-            relayed = StoreNews(reply.update.incarnation, ()) if whole else reply.update
+            relayed = (
+                StoreUpdate(reply.update.incarnation, ()) if whole else reply.update
+            )
             self._relay(relayed, up=True)
         await asyncio.sleep(GATHER_PAUSE_S)
 
@@ -238,13 +240,15 @@
             self._mark_lost()
         return reply
 
-    def _relay(self, update: StoreNews, *, up: bool) -> None:
+    def _relay(self, update: StoreUpdate, *, up: bool) -> None:
         address, links = self._view.address, self._peers.links()
-        lane = lane_of(self._peers.own, links, address) or 0
-        for message in tidings(address, update.incarnation, update.events, up=up):
+        lane = relay_index(self._peers.own, links, address) or 0
+        for message in store_messages(
+            address, update.incarnation, update.events, up=up
+        ):
             self._peers.send(message, lane)
 
-    def _apply(self, update: StoreNews) -> None:
+    def _apply(self, update: StoreUpdate) -> None:
         if not self._view.up:
             emit(StoreFound(self._view.address))
         self._view.take(update)
--- a/gooseberrydale/process/gateway/terms.py
+++ b/gooseberrydale/process/gateway/terms.py
@@ -71,7 +71,7 @@
     ) -> tuple[str | None, str | None]:
         """Return the stores to fetch the shared prefix from, and to save it to."""
         shared = () if job.call.prompt is None else job.call.prompt.shared
-        store = self._upstreams.stores.of(shared)
+        store = self._upstreams.stores.store_for(shared)
         if store is None:
             return None, None
         if not store.lacks(salt, shared):
--- a/gooseberrydale/process/gateway/upstream_health.py
+++ b/gooseberrydale/process/gateway/upstream_health.py
@@ -15,7 +15,7 @@
 
 def suspect(name: str, load: UpstreamLoad, now: float, reason: str) -> None:
     """Pause sends to an upstream that was unreachable or closed a connection."""
-    for_ms = load.unreachable(now) * MS_PER_S
+    for_ms = load.note_unreachable(now) * MS_PER_S
     emit(UpstreamSuspected(name, for_ms, load.failures, reason))
 
 
@@ -26,7 +26,7 @@
 
 def reached(name: str, load: UpstreamLoad, now: float) -> None:
     """Record that an upstream accepted a probe's connection."""
-    load.silence.reached(now)
+    load.silence.probe_succeeded(now)
     _log_recovery(name, load.reached())
 
 
--- a/gooseberrydale/process/gateway/upstreams.py
+++ b/gooseberrydale/process/gateway/upstreams.py
@@ -129,8 +129,8 @@
         The runs of an upstream that announced that it leaves are not blamed for its
         end: a long stream meets several of those during a rolling replacement.
         """
-        was_over = load.runs.is_over
-        lost = load.runs.over(now)
+        was_over = load.runs.has_ended
+        lost = load.runs.mark_ended(now)
         record = self._directory.get(name, now)
         if not load.is_leaving and (record is None or not record.leaving):
             self.ended_incarnations.report(
@@ -146,7 +146,7 @@
     ) -> None:
         """Record the end of a send to an incarnation of an upstream."""
         load.runs.ended(run, now, end)
-        if load.runs.is_over and end is not RunEnd.ANSWERED:
+        if load.runs.has_ended and end is not RunEnd.ANSWERED:
             self.ended(
                 name, load, now, "a connection broke after its incarnation ended"
             )
@@ -156,7 +156,7 @@
         return tuple(
             name
             for name, load in self._loads.items()
-            if load.avoid_until > now and not load.told_to_avoid
+            if load.avoid_until > now and not load.avoid_reported_by_peers
         )
 
     def peer_refused(self, names: Collection[str], now: float) -> None:
@@ -174,8 +174,8 @@
                 load = self._loads.get(record.name)
                 if load is None:
                     continue
-                broke = load.runs.take_doubt()
-                if load.silence.is_doubtful(now, load.suspect_until) or broke:
+                broke = load.runs.take_run_broke()
+                if load.silence.is_probe_due(now, load.suspect_until) or broke:
                     due.append(record)
         return due
 
@@ -189,15 +189,15 @@
         """Have upstreams probed that another gateway suspects to be dead."""
         for name in names:
             load = self.load_of(name)
-            if load.suspect_until <= now and load.silence.doubt(now):
+            if load.suspect_until <= now and load.silence.report_dead(now):
                 load.avoid(now, REFUSED_AVOID_S, told=True)
 
     def works(self) -> tuple[UpstreamWork, ...]:
         """This process's work at each upstream, to be sent to the other gateways."""
         return tuple(
-            UpstreamWork(name, *load.own)
+            UpstreamWork(name, *load.own_work)
             for name, load in self._loads.items()
-            if load.own[0]
+            if load.own_work[0]
         )
 
     def records(self, pool: str, now: float) -> tuple[UpstreamRecord, ...]:
@@ -276,7 +276,7 @@
 
     def leaving(self, name: str, now: float) -> None:
         """Record that an upstream's answer announced that it leaves."""
-        if self.load_of(name).leaves(now):
+        if self.load_of(name).note_leaving(now):
             emit(UpstreamLeaving(name))
 
     def count(self, now: float) -> int:
@@ -295,7 +295,7 @@
             current.update(record.name for record in view.records)
         self.limits.retain(current, now)
         for name in self._loads.keys() - current:
-            if not self._loads[name].outlasts_record(now):
+            if not self._loads[name].outlives_record(now):
                 del self._loads[name]
         for name in self._incarnations.keys() - current:
             del self._incarnations[name]
@@ -397,7 +397,7 @@
         be wrong by whole prompts: with one prompt in a zone of six gateways, an idle
         engine would seem full.
         """
-        unreported_ratio = self._peers.unheard
+        unreported_ratio = self._peers.unreported_ratio
         if not unreported_ratio or not records:
             return None
         reported = [self._peers.at(record.name) for record in records]
@@ -427,7 +427,7 @@
         None if no store answers.
         """
         shared = () if query.prompt is None else query.prompt.shared
-        store = self.stores.of(shared)
+        store = self.stores.store_for(shared)
         if store is None:
             return None
         salts = {
--- a/gooseberrydale/process/quota_client.py
+++ b/gooseberrydale/process/quota_client.py
@@ -17,7 +17,7 @@
 from gooseberrydale.connection.gateway_datagrams import FleetView
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.quotas.account import Account
-from gooseberrydale.version.quotas.counting import Counting
+from gooseberrydale.version.quotas.ledgers import Ledgers
 from gooseberrydale.version.quotas.messages import (
     QuotaAsk,
     QuotaLevels,
@@ -127,7 +127,7 @@
         self._accounts: dict[str, Account] = {}
         self._owners = Owners()
         self._known_fleet: Fleet | None = None
-        self._counting: Counting | None = None
+        self._counting: Ledgers | None = None
         self._started_at = 0.0
         self._suspects: dict[str, float] = {}
         self._seqs: Iterator[int] = itertools.count(1)
@@ -150,7 +150,7 @@
     async def start(self) -> None:
         """Begin to report and to count; messages can be sent."""
         self._started_at = _now()
-        self._counting = Counting(self._name, self._quotas, self._started_at)
+        self._counting = Ledgers(self._name, self._quotas, self._started_at)
         self._task = asyncio.create_task(self._repeat())
 
     async def close(self) -> None:
@@ -210,10 +210,10 @@
         least_share = 1.0 / max(1, len(self._owners))
         if not self._is_settled():
             least_share = UNSETTLED_SHARE
-        after_s = account.may_spend_own(want.quota, least_share, _now())
+        after_s = account.own_share_wait_s(want.quota, least_share, _now())
         if after_s > 0.0:
             return self._refuse(after_s, account, want, self._name)
-        account.spend_own(want.cost)
+        account.spend_own_share(want.cost)
         self.spend(want.workspace, want.cost)
         return None
 
@@ -388,7 +388,7 @@
             if owners[0].name == notice.owner:
                 account.heard(level, now)
             else:
-                account.heard_spare(level, now)
+                account.record_fallback_notice(level, now)
 
     def _send_notices(self, notices: Mapping[str, QuotaLevels]) -> None:
         for name, levels in notices.items():
--- a/gooseberrydale/process/sidecar/kv_transfer.py
+++ b/gooseberrydale/process/sidecar/kv_transfer.py
@@ -63,7 +63,7 @@
             return
         for piece in self._use.used(pieces):
             if self._exports.full():
-                self._use.not_exported(piece)
+                self._use.export_failed(piece)
             else:
                 self._exports.put_nowait(piece)
 
@@ -72,7 +72,7 @@
         if not self._store or not missing:
             return 0
         now = asyncio.get_running_loop().time()
-        requested = self._use.worth_asking(missing, self._prefill_tps(), now)
+        requested = self._use.pieces_to_import(missing, self._prefill_tps(), now)
         if not requested:
             return 0
         stored = await self._find_stored(requested)
@@ -86,7 +86,7 @@
         stored = []
         for piece, is_stored in zip(requested, results, strict=True):
             if not is_stored:
-                self._use.absent(piece, asyncio.get_running_loop().time())
+                self._use.note_absent(piece, asyncio.get_running_loop().time())
                 break
             stored.append(piece)
         return stored
@@ -112,19 +112,19 @@
                 for piece in pieces:
                     started_at = loop.time()
                     if not await self._send_order("/kv/import", piece, limit_s):
-                        self._use.absent(piece, loop.time())
+                        self._use.note_absent(piece, loop.time())
                         break
-                    self._use.moved(piece.tokens, loop.time() - started_at)
+                    self._use.note_import(piece.tokens, loop.time() - started_at)
                     imported += piece.tokens
         except TimeoutError:
-            self._use.moved(tokens - imported, limit_s)
+            self._use.note_import(tokens - imported, limit_s)
         return imported
 
     async def _export_all(self) -> None:
         while True:
             piece = await self._exports.get()
             if not await self._send_order("/kv/export", piece, EXPORT_TIMEOUT_S):
-                self._use.not_exported(piece)
+                self._use.export_failed(piece)
 
     async def _send_order(self, path: str, piece: KvPiece, timeout_s: float) -> bool:
         try:
--- a/gooseberrydale/process/sidecar/upstream_runs.py
+++ b/gooseberrydale/process/sidecar/upstream_runs.py
@@ -70,14 +70,14 @@
         """Record how an attempt ended."""
         incarnation = running.incarnation
         incarnation.runs.ended(running.run, _now(), end)
-        if incarnation.runs.is_over and end is not RunEnd.ANSWERED:
+        if incarnation.runs.has_ended and end is not RunEnd.ANSWERED:
             self._report_end(
                 incarnation, "a connection broke after the upstream had ended"
             )
 
     def upstream_gone(self, reason: str) -> None:
         """Record that the upstream accepts no connection."""
-        if not self._upstream_incarnation.runs.is_over:
+        if not self._upstream_incarnation.runs.has_ended:
             self._report_end(self._upstream_incarnation, reason)
 
     def upstream_there(self, incarnation: str) -> None:
@@ -87,9 +87,9 @@
         """
         previous, self._incarnation = self._incarnation, incarnation
         is_same = bool(incarnation) and previous in ("", incarnation)
-        if self._upstream_incarnation.runs.is_over and is_same:
-            self._upstream_incarnation.runs.back()
-        elif self._upstream_incarnation.runs.is_over:
+        if self._upstream_incarnation.runs.has_ended and is_same:
+            self._upstream_incarnation.runs.mark_running()
+        elif self._upstream_incarnation.runs.has_ended:
             self._upstream_incarnation = self._next_incarnation()
         elif previous and not is_same:
             self._report_end(self._upstream_incarnation, "the upstream has restarted")
@@ -100,7 +100,7 @@
         return _Incarnation(f"{self._prefix}.{self._count}", OpenRuns())
 
     def _report_end(self, incarnation: _Incarnation, reason: str) -> None:
-        lost = incarnation.runs.over(_now())
+        lost = incarnation.runs.mark_ended(_now())
         if not self._is_leaving():
             self._ended_incarnations.report(incarnation.name, lost, _now())
         waiting = [shown(request) for request in lost.waiting]
--- a/gooseberrydale/version/ended_incarnations.py
+++ b/gooseberrydale/version/ended_incarnations.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class News:
+class Update:
     """Additions after a version; a receiver that merges them is at ``version``."""
 
     incarnations: tuple[EndedIncarnation, ...]
@@ -201,11 +201,11 @@
             if request not in self._incarnations[name].cleared:
                 self.offer(EndedIncarnation(name, cleared=(request,)), now)
 
-    def since(self, version: int, now: float, *, exclude: object = None) -> News:
+    def since(self, version: int, now: float, *, exclude: object = None) -> Update:
         """Return the additions after ``version``, without those received from the
         session ``exclude``."""
         if version == self._version:
-            return News((), version)
+            return Update((), version)
         updates = [
             (update, incarnation.ended_at)
             for incarnation in self._incarnations.values()
@@ -213,7 +213,7 @@
             if update.version > version and self._should_send(update, version, exclude)
         ]
         updates.sort(key=lambda pair: pair[0].version)
-        return News(
+        return Update(
             tuple(
                 _with_age(update.report, now - ended_at) for update, ended_at in updates
             ),
--- a/gooseberrydale/version/gateway_peers.py
+++ b/gooseberrydale/version/gateway_peers.py
@@ -16,7 +16,7 @@
 
 from gooseberrydale.version.stores import first_by_hash
 
-FLAT_UP_TO = 16
+MAX_FLAT_GATEWAYS = 16
 """Number of gateways up to which all report to each other directly.  At 400 datagrams a
 second a change is reported within 40 ms, sooner than by way of two relays."""
 
@@ -51,7 +51,7 @@
     def is_flat(self) -> bool:
         """Whether every gateway reports to every other one."""
         zones = {peer.zone for peer in (self.own, *self.others)}
-        return len(self.others) < FLAT_UP_TO or len(zones) == 1
+        return len(self.others) < MAX_FLAT_GATEWAYS or len(zones) == 1
 
     @cached_property
     def near(self) -> tuple[GatewayPeer, ...]:
--- a/gooseberrydale/version/kv_use.py
+++ b/gooseberrydale/version/kv_use.py
@@ -54,12 +54,12 @@
         _trim(self._exported)
         return due
 
-    def not_exported(self, piece: KvPiece) -> None:
+    def export_failed(self, piece: KvPiece) -> None:
         """Record that an export failed; later uses may trigger another one."""
         self._exported.pop(piece.key, None)
         self._uses.pop(piece.key, None)
 
-    def worth_asking(
+    def pieces_to_import(
         self, missing: Sequence[KvPiece], prefill_tps: float, now: float
     ) -> list[KvPiece]:
         """Return the missing pieces to request from the store.
@@ -83,13 +83,13 @@
         move_s = OPERATION_COST_S * (1 + len(pieces)) + tokens / self.transfer_tps
         return move_s < tokens / prefill_tps
 
-    def absent(self, piece: KvPiece, now: float) -> None:
+    def note_absent(self, piece: KvPiece, now: float) -> None:
         """Record that the store does not hold the piece."""
         self._absent.pop(piece.key, None)
         self._absent[piece.key] = now + ABSENT_TTL_S
         _trim(self._absent)
 
-    def moved(self, tokens: int, seconds: float) -> None:
+    def note_import(self, tokens: int, seconds: float) -> None:
         """Update the transfer rate after an import."""
         if seconds > 0:
             rate = tokens / seconds
--- a/gooseberrydale/version/open_runs.py
+++ b/gooseberrydale/version/open_runs.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-NOTICED_S = 2.0
+END_DETECTION_S = 2.0
 """Time for which a broken run is attributed to an end of its upstream that is detected
 later; two failed probes take about a second."""
 
@@ -68,7 +68,7 @@
         self._is_doubtful = False
 
     @property
-    def is_over(self) -> bool:
+    def has_ended(self) -> bool:
         """Whether the end of the incarnation was detected."""
         return self._has_ended
 
@@ -86,7 +86,7 @@
         if end is RunEnd.BROKE and not self._has_ended:
             self._is_doubtful = True
 
-    def take_doubt(self) -> bool:
+    def take_run_broke(self) -> bool:
         """Return whether a run broke since the last call.
 
         The upstream is then probed immediately: later, another incarnation may answer
@@ -96,13 +96,13 @@
         doubtful, self._is_doubtful = self._is_doubtful, False
         return doubtful
 
-    def over(self, now: float) -> LostRuns:
+    def mark_ended(self, now: float) -> LostRuns:
         """Record that the incarnation has ended.
 
         Return the requests that ran there and were not returned before.
         """
         self._has_ended, self._is_doubtful = True, False
-        recent = [run for at, run in self._broken if now < at + NOTICED_S]
+        recent = [run for at, run in self._broken if now < at + END_DETECTION_S]
         self._broken.clear()
         new = [run for run in (*self._open, *recent) if not run.reported]
         for run in new:
@@ -112,7 +112,7 @@
             answering=_requests(run for run in new if run.answering),
         )
 
-    def back(self) -> None:
+    def mark_running(self) -> None:
         """Record that the incarnation still runs and was only unreachable."""
         self._has_ended = False
 
--- a/gooseberrydale/version/peer_loads.py
+++ b/gooseberrydale/version/peer_loads.py
@@ -14,7 +14,7 @@
 
 from gooseberrydale.connection.codec import message
 
-FORGET_S = 2.5
+REPORT_RETENTION_S = 2.5
 """Time after its last report for which a gateway's work is kept.  Reports come at least
 every second, so two in a row may be lost."""
 
@@ -28,7 +28,7 @@
 sums of an area.  This keeps two gateways that both consider themselves the relay from
 alternating."""
 
-ELSEWHERE = ""
+OTHER_ZONES = ""
 """Name of the area that consists of all availability zones but the own one."""
 
 
@@ -135,7 +135,7 @@
         return self._gateways.keys()
 
     @property
-    def unheard(self) -> float:
+    def unreported_ratio(self) -> float:
         """Number of gateways without any report, for each gateway that reports.
 
         Until sums of other zones arrive, gateways there are assumed to have as much
@@ -145,15 +145,15 @@
         """
         return 0.0 if self._areas else self._unreported_ratio
 
-    def note_unheard(self, gateways: int, reporting: int) -> None:
+    def note_unreported(self, gateways: int, reporting: int) -> None:
         """Record how many other gateways do not report here, and how many do."""
         self._unreported_ratio = gateways / max(1, reporting)
 
-    def take(self, report: WorkReport, now: float) -> bool:
+    def merge(self, report: WorkReport, now: float) -> bool:
         """Merge a report; return False if a newer one of that gateway was merged."""
         return self._take(self._gateways, report.name, report.name, report, now)
 
-    def take_area(self, report: AreaReport, now: float) -> bool:
+    def merge_area(self, report: AreaReport, now: float) -> bool:
         """Merge the sums of an area.
 
         Return False if newer sums were merged, or another relay still reports the area.
@@ -173,7 +173,9 @@
     def expire(self, now: float) -> None:
         """Drop the work of gateways and relays that have stopped reporting."""
         for table in (self._gateways, self._areas):
-            for name in [k for k, known in table.items() if known.at + FORGET_S <= now]:
+            for name in [
+                k for k, known in table.items() if known.at + REPORT_RETENTION_S <= now
+            ]:
                 self._drop(table, name)
 
     def near(self, now: float) -> Summary:
@@ -269,12 +271,12 @@
 
 
 def changes(
-    told: Mapping[str, UpstreamWork], works: Mapping[str, UpstreamWork]
+    reported: Mapping[str, UpstreamWork], works: Mapping[str, UpstreamWork]
 ) -> tuple[UpstreamWork, ...]:
     """Return the entries of ``works`` that differ from those reported before, in
-    ``told``; work that has ended is 0."""
-    ended = (UpstreamWork(name, 0, 0, 0) for name in told.keys() - works.keys())
-    new = (work for name, work in works.items() if told.get(name) != work)
+    ``reported``; work that has ended is 0."""
+    ended = (UpstreamWork(name, 0, 0, 0) for name in reported.keys() - works.keys())
+    new = (work for name, work in works.items() if reported.get(name) != work)
     return (*ended, *new)
 
 
--- a/gooseberrydale/version/quotas/account.py
+++ b/gooseberrydale/version/quotas/account.py
@@ -82,7 +82,7 @@
             return False
         return self.left - cost > LOW_FRACTION * quota.capacity
 
-    def may_spend_own(self, quota: Quota, least_share: float, now: float) -> float:
+    def own_share_wait_s(self, quota: Quota, least_share: float, now: float) -> float:
         """Return the seconds until the gateway's own share allows another request.
 
         0 if it allows one now.  ``least_share`` is the share of a gateway that has not
@@ -97,7 +97,7 @@
         self._own_at = now
         return 0.0 if self._own_left > 0.0 else -self._own_left / per_s
 
-    def spend_own(self, cost: int) -> None:
+    def spend_own_share(self, cost: int) -> None:
         """Deduct the cost of a request from the gateway's own share."""
         self._own_left -= cost
 
@@ -117,7 +117,7 @@
         self._level, self._level_at = level, now
         self._unanswered_since = math.inf
 
-    def heard_spare(self, level: Level, now: float) -> None:
+    def record_fallback_notice(self, level: Level, now: float) -> None:
         """Record a notice of the fallback owner, which other gateways may be asking."""
         if level.short:
             self._fallback_short_until = now + FALLBACK_SHORT_S
--- a/gooseberrydale/version/quotas/counting.py
+++ b/gooseberrydale/version/quotas/ledgers.py
@@ -28,7 +28,7 @@
 Notices = dict[str, QuotaLevels]
 
 
-class Counting:
+class Ledgers:
     """The ledgers of one process, the gateway ``name``.
 
     ``quotas`` returns the quotas in force.  A new ledger starts with what the bucket
--- a/gooseberrydale/version/silence.py
+++ b/gooseberrydale/version/silence.py
@@ -63,7 +63,7 @@
         """Record that a request has ended."""
         self._open -= 1
 
-    def heard(self, now: float) -> None:
+    def note_received(self, now: float) -> None:
         """Record that bytes arrived."""
         self._since = now
         self._failed_probes = 0
@@ -77,7 +77,7 @@
         """Remove ``abort``, as its request has ended."""
         self._aborts.discard(abort)
 
-    def doubt(self, now: float) -> bool:
+    def report_dead(self, now: float) -> bool:
         """Record that another process considers the upstream dead.
 
         Return False if that is ignored, as a probe of this process just succeeded.
@@ -91,29 +91,29 @@
         """Return for how long no bytes came while requests were open."""
         return now - self._since if self._open > 0 else 0.0
 
-    def is_doubtful(self, now: float, alone_until: float) -> bool:
+    def is_probe_due(self, now: float, avoid_until: float) -> bool:
         """Return whether to probe the upstream now, and if so, record the probe.
 
-        ``alone_until`` is the end of the time for which the upstream is avoided.
+        ``avoid_until`` is the end of the time for which the upstream is avoided.
         """
         if now < self._probed_at + self._interval_s:
             return False
-        if alone_until > now:
-            due = now >= alone_until - PROBE_LEAD_S
+        if avoid_until > now:
+            due = now >= avoid_until - PROBE_LEAD_S
         else:
             due = self._reported_dead or self.silent_s(now) >= SILENT_S
         if due:
             self._probed_at = now
         return due
 
-    def reached(self, now: float) -> None:
+    def probe_succeeded(self, now: float) -> None:
         """Record that a probe succeeded."""
         self._reached_at = now
         self._failed_probes = 0
         self._interval_s = min(MAX_PROBE_INTERVAL_S, 2 * self._interval_s)
         self._reported_dead = False
 
-    def unanswered(self, now: float) -> bool:
+    def probe_failed(self, now: float) -> bool:
         """Record that a probe failed; return whether the upstream is now dead."""
         self._failed_probes += 1
         # Allow the next probe immediately.
@@ -124,7 +124,7 @@
         self._reported_dead = False
         return True
 
-    def give_up(self) -> int:
+    def abort_all(self) -> int:
         """Call all registered aborts; return their number."""
         aborts, self._aborts = self._aborts, set()
         for abort in aborts:
--- a/gooseberrydale/version/store_followers.py
+++ b/gooseberrydale/version/store_followers.py
@@ -16,7 +16,7 @@
 from gooseberrydale.version.store_view import StoreEvent
 from gooseberrydale.version.stores import first_by_hash
 
-ALL_FOLLOW = 8
+MAX_ALL_FOLLOWING = 8
 """Number of gateways up to which each follows every store.  Stores accept twelve calls
 at a time; four are left for gateways with an outdated view of the fleet."""
 
@@ -24,7 +24,7 @@
 """Gateways that follow a store for all others in a larger deployment; one of them may
 fail."""
 
-RELAY_SILENT_S = 3.0
+RELAY_TIMEOUT_S = 3.0
 """Time without a message after which relays count as failed; they send one at least
 every second."""
 
@@ -32,7 +32,7 @@
 """Events of some 35 bytes each that fit in a datagram of less than 1,400 bytes."""
 
 
-class Part(Enum):
+class Role(Enum):
     """How a gateway gets the events of one store."""
 
     FOLLOW = auto()
@@ -54,17 +54,17 @@
     up: bool
 
 
-def part_of(own: str, links: Mapping[str, float], address: str) -> Part:
+def role_of(own: str, links: Mapping[str, float], address: str) -> Role:
     """Return the role of the gateway ``own`` for the store at ``address``.
 
     ``links`` has the width of each gateway's network link in Mbit/s, 0 if not known.
     """
-    if len(links) <= ALL_FOLLOW:
-        return Part.FOLLOW
-    return Part.LISTEN if lane_of(own, links, address) is None else Part.RELAY
+    if len(links) <= MAX_ALL_FOLLOWING:
+        return Role.FOLLOW
+    return Role.LISTEN if relay_index(own, links, address) is None else Role.RELAY
 
 
-def lane_of(own: str, links: Mapping[str, float], address: str) -> int | None:
+def relay_index(own: str, links: Mapping[str, float], address: str) -> int | None:
     """Return the index of the gateway ``own`` among the store's relays, None if it is
     not one."""
     wide = wide_links(links)
@@ -72,7 +72,7 @@
     return relays.index(own) if own in relays else None
 
 
-def tidings(
+def store_messages(
     address: str, incarnation: str, events: tuple[StoreEvent, ...], *, up: bool
 ) -> list[StoreTidings]:
     """Split events into messages that fit a datagram each; at least one message."""
--- a/gooseberrydale/version/store_view.py
+++ b/gooseberrydale/version/store_view.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StoreNews:
+class StoreUpdate:
     """Events of one incarnation of a store.
 
     ``missed`` is True if earlier events were lost, ``whole`` if ``events`` list all
@@ -49,7 +49,7 @@
         self._incarnation = ""
         self._tokens: dict[tuple[str, str], int] = {}
 
-    def take(self, update: StoreNews) -> None:
+    def take(self, update: StoreUpdate) -> None:
         """Apply events; drop all parts first if the store has restarted."""
         self.up = True
         if update.whole or update.incarnation != self._incarnation:
--- a/gooseberrydale/version/stores.py
+++ b/gooseberrydale/version/stores.py
@@ -41,7 +41,7 @@
         """Return the view of one store, None if it is not declared."""
         return self._views.get(address)
 
-    def of(self, parts: Sequence[PromptPart]) -> StoreView | None:
+    def store_for(self, parts: Sequence[PromptPart]) -> StoreView | None:
         """Return the store for the prefix of ``parts``, None if no store answers."""
         up = [name for name, view in self._views.items() if view.up]
         if not parts or not up:
--- a/gooseberrydale/version/upstream_incarnation.py
+++ b/gooseberrydale/version/upstream_incarnation.py
@@ -41,7 +41,7 @@
     return same_epoch if same_epoch > known else incarnation_name(born, epoch + 1)
 
 
-def incarnation_told(known: str, born: int | None) -> str | None:
+def announced_incarnation(known: str, born: int | None) -> str | None:
     """Return the incarnation that announces the start time ``born``.
 
     None if it started before ``known``, the newest incarnation recorded: an
--- a/gooseberrydale/version/upstream_limits.py
+++ b/gooseberrydale/version/upstream_limits.py
@@ -133,7 +133,7 @@
             limit = self._note(notice.upstream, notice.per_s, answered_at, now)
             limit.reported_at, limit.changed = answered_at, False
 
-    def due(self, now: float) -> LimitReport | None:
+    def next_report(self, now: float) -> LimitReport | None:
         """Return the report to send to all other gateways now, None if none is due."""
         notices = []
         for upstream, limit in list(self._limits.items()):
--- a/gooseberrydale/version/upstream_load.py
+++ b/gooseberrydale/version/upstream_load.py
@@ -66,7 +66,7 @@
         self._failures = 0
         self.suspect_until = -math.inf
         self.avoid_until = -math.inf
-        self.told_to_avoid = False
+        self.avoid_reported_by_peers = False
         self.backoff_until = -math.inf
         self.leaving_since: float | None = None
         self.error_rate = 0.0
@@ -79,7 +79,7 @@
         self._prefill_tokens += work.prefill_tokens
         self._kv_tokens += work.kv_tokens
 
-    def first_part(self, work: Work) -> None:
+    def prefill_done(self, work: Work) -> None:
         """Record that the first bytes of an answer came: its prompt is computed."""
         self._prefill_tokens -= work.prefill_tokens
 
@@ -109,12 +109,12 @@
 
         Return the number of consecutive failures to reach it before.
         """
-        self.runs.back()
+        self.runs.mark_running()
         before, self._failures = self._failures, 0
         self.suspect_until = -math.inf
         return before
 
-    def unreachable(self, now: float) -> float:
+    def note_unreachable(self, now: float) -> float:
         """Record that no connection was made, or that one broke.
 
         Return the seconds for which to avoid the upstream.
@@ -131,13 +131,13 @@
         ``told`` is whether other gateways reported this, rather than the upstream.
         """
         self.avoid_until = max(self.avoid_until, now + for_s)
-        self.told_to_avoid = told
+        self.avoid_reported_by_peers = told
 
     def back_off(self, now: float, for_s: float) -> None:
         """Send no request for ``for_s`` seconds, as the upstream asked for."""
         self.backoff_until = max(self.backoff_until, now + for_s)
 
-    def leaves(self, now: float) -> bool:
+    def note_leaving(self, now: float) -> bool:
         """Record that the upstream is leaving; return True the first time."""
         is_new = self.leaving_since is None
         self.leaving_since = now if is_new else self.leaving_since
@@ -148,7 +148,7 @@
         """Whether the upstream has said in an answer that it is leaving."""
         return self.leaving_since is not None
 
-    def outlasts_record(self, now: float) -> bool:
+    def outlives_record(self, now: float) -> bool:
         """Return whether to keep this object after the upstream's record has expired.
 
         True while the upstream is leaving or has asked for a backoff that still runs.
@@ -163,7 +163,7 @@
         return self._failures
 
     @property
-    def own(self) -> tuple[int, int, int]:
+    def own_work(self) -> tuple[int, int, int]:
         """This entry's own work: requests, tokens to compute, tokens of memory."""
         return self._requests, self._prefill_tokens, self._kv_tokens
 
--- a/gooseberrydale/version/patience.py
+++ b/gooseberrydale/version/wait_limits.py
@@ -26,7 +26,7 @@
 MAX_ROUTES = 4_096
 
 
-class Patience:
+class WaitLimits:
     """The longest wait limit that callers of each route have named."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         # Fraction of the callers of each route that have the longest wait limit.
         self._same: dict[str, float] = {}
 
-    def waited_before_s(self, route: str, wait_s: float | None) -> float:
+    def prior_wait_s(self, route: str, wait_s: float | None) -> float:
         """Return the time that a caller has waited already; record its wait limit.
 
         ``wait_s`` is how long the caller is still prepared to wait, None if unknown.
--- a/tests/builders_ending.py
+++ b/tests/builders_ending.py
@@ -24,7 +24,7 @@
 
 HARMFUL = b"harmful"
 SLOW = b"slow"
-BACK_S = 0.3
+REPLACEMENT_S = 0.3
 """Time after which an upstream that ended is replaced by another one."""
 
 EXCHANGE_S = 0.6
@@ -98,7 +98,7 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _replace(self) -> None:
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(REPLACEMENT_S)
         await self.add()
 
 
--- a/tests/builders_ending_sidecars.py
+++ b/tests/builders_ending_sidecars.py
@@ -13,7 +13,7 @@
 from gooseberrydale.process.cfg import NodeCfg
 from gooseberrydale.process.entry import Entry
 from gooseberrydale.process.sidecar import Sidecar
-from tests.builders_ending import BACK_S, HARMFUL
+from tests.builders_ending import HARMFUL, REPLACEMENT_S
 from tests.builders_entry import KEY_A, TOKEN, make_cfg, make_config
 from tests.builders_mesh import Member, until
 from tests.builders_sidecar import Request, TinyUpstream, Writer, send_body, sidecar_cfg
@@ -23,7 +23,7 @@
 
 @dataclass
 class CrashingUpstream:
-    """An upstream that a harmful request ends; it restarts after ``BACK_S``.
+    """An upstream that a harmful request ends; it restarts after ``REPLACEMENT_S``.
 
     ``names_incarnations`` says whether its health check names its incarnation.
     """
@@ -68,7 +68,7 @@
             self._writers.discard(writer)
 
     async def _restart(self) -> None:
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(REPLACEMENT_S)
         self.incarnations += 1
         self._name_incarnation()
         await self.upstream.start()
--- a/tests/builders_limit_fleet.py
+++ b/tests/builders_limit_fleet.py
@@ -156,7 +156,7 @@
         if round(self.now / STEP_S) % round(LOOK_S / STEP_S) != offset:
             return
         node.limits.retain((UPSTREAM,), self.now)
-        report = node.limits.due(self.now)
+        report = node.limits.next_report(self.now)
         if report is None:
             return
         data = encode(report)
--- a/tests/test_area_gossip.py
+++ b/tests/test_area_gossip.py
@@ -14,8 +14,8 @@
     MAX_DATAGRAMS_PER_S,
 )
 from gooseberrydale.version import gateway_peers
-from gooseberrydale.version.gateway_peers import FLAT_UP_TO
-from gooseberrydale.version.peer_loads import FORGET_S, UpstreamWork
+from gooseberrydale.version.gateway_peers import MAX_FLAT_GATEWAYS
+from gooseberrydale.version.peer_loads import REPORT_RETENTION_S, UpstreamWork
 from tests.builders_fleet import Net, Node, fleet_of, work_for
 from tests.clock import run_paused
 
@@ -49,7 +49,9 @@
     return {node.loads.at("u").requests for node in nodes if node.up}
 
 
-@pytest.mark.parametrize("gateways", [2, FLAT_UP_TO, FLAT_UP_TO + 1, LARGE])
+@pytest.mark.parametrize(
+    "gateways", [2, MAX_FLAT_GATEWAYS, MAX_FLAT_GATEWAYS + 1, LARGE]
+)
 def test_each_gateway_records_the_work_of_all_others(gateways: int) -> None:
     async def main() -> None:
         nodes = await started(Net(), gateways)
@@ -95,7 +97,7 @@
         return net.bytes_between_zones
 
     by_relays = run_paused(crossing())
-    monkeypatch.setattr(gateway_peers, "FLAT_UP_TO", LARGE)
+    monkeypatch.setattr(gateway_peers, "MAX_FLAT_GATEWAYS", LARGE)
     assert by_relays * 10 < run_paused(crossing())
 
 
@@ -104,7 +106,9 @@
         nodes = await started(Net(), LARGE)
         await work_for(nodes, 1.0, per_s=10.0)
         nodes[0].up = False
-        await asyncio.sleep(FORGET_S + FULL_REPORT_INTERVAL_S + RELAY_CHECK_INTERVAL_S)
+        await asyncio.sleep(
+            REPORT_RETENTION_S + FULL_REPORT_INTERVAL_S + RELAY_CHECK_INTERVAL_S
+        )
         zone = [node for node in nodes if node.peer.zone == "z0"]
         zone[1].view.work["u"] = UpstreamWork("u", 5, 10, 100)
         zone[1].gossip.changed()
@@ -122,7 +126,7 @@
 def test_names_of_silent_and_refusing_upstreams_reach_all() -> None:
     async def main() -> None:
         nodes = await started(Net(), LARGE)
-        await asyncio.sleep(FORGET_S + SETTLE_S)
+        await asyncio.sleep(REPORT_RETENTION_S + SETTLE_S)
         nodes[40].view.dead, nodes[40].view.refused = ("u8",), ("u9",)
         nodes[40].gossip.changed()
         await asyncio.sleep(FULL_REPORT_INTERVAL_S + SETTLE_S)
@@ -166,7 +170,9 @@
         await asyncio.sleep(SETTLE_S)
         for node in nodes[ZONES:]:
             near = sum(other.peer.zone == node.peer.zone for other in nodes) - 1
-            assert node.loads.unheard == pytest.approx((LARGE - 1 - near) / near)
+            assert node.loads.unreported_ratio == pytest.approx(
+                (LARGE - 1 - near) / near
+            )
         await closed(nodes)
 
     run_paused(main())
@@ -175,8 +181,8 @@
 def test_no_gateway_counts_as_unreported_once_all_zones_have_reported() -> None:
     async def main() -> None:
         nodes = await started(Net(), LARGE)
-        await asyncio.sleep(FORGET_S + FULL_REPORT_INTERVAL_S)
-        assert {node.loads.unheard for node in nodes} == {0.0}
+        await asyncio.sleep(REPORT_RETENTION_S + FULL_REPORT_INTERVAL_S)
+        assert {node.loads.unreported_ratio for node in nodes} == {0.0}
         await closed(nodes)
 
     run_paused(main())
--- a/tests/test_ended_upstreams.py
+++ b/tests/test_ended_upstreams.py
@@ -21,9 +21,9 @@
 from gooseberrydale.request.fingerprint import fingerprint, shown
 from gooseberrydale.version.ended_incarnations import QUARANTINE_AFTER
 from tests.builders_ending import (
-    BACK_S,
     EXCHANGE_S,
     HARMFUL,
+    REPLACEMENT_S,
     SLOW,
     Deployment,
     deployment,
@@ -144,7 +144,7 @@
             assert 200 not in await asyncio.gather(*sent)
             await wait_quarantined(*fleet.gateways)
             ended = len(fleet.pool.ended)
-            await asyncio.sleep(2 * BACK_S)
+            await asyncio.sleep(2 * REPLACEMENT_S)
             again = [fleet.send(gateway, HARMFUL) for gateway in fleet.gateways * 2]
             assert set(await asyncio.gather(*again)) == {503}
             assert len(fleet.pool.ended) == ended
--- a/tests/test_gateway_views.py
+++ b/tests/test_gateway_views.py
@@ -21,16 +21,16 @@
 from gooseberrydale.version.directory import Directory
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 from gooseberrydale.version.named_weights import NamedWeights
-from gooseberrydale.version.open_runs import NOTICED_S, RunEnd
+from gooseberrydale.version.open_runs import END_DETECTION_S, RunEnd
 from gooseberrydale.version.order_marks import mark
 from gooseberrydale.version.peer_loads import (
-    FORGET_S,
+    REPORT_RETENTION_S,
     PeerLoads,
     UpstreamWork,
     WorkReport,
     changes,
 )
-from gooseberrydale.version.store_view import StoreEvent, StoreNews, StoreView
+from gooseberrydale.version.store_view import StoreEvent, StoreUpdate, StoreView
 from gooseberrydale.version.stores import Stores
 from gooseberrydale.version.upstream_load import Load, UpstreamLoad, Work
 from tests.builders_gateway import POOL, no_limits, prompt, record
@@ -47,31 +47,31 @@
 
 def test_work_of_peers_is_summed_from_their_newest_reports() -> None:
     loads = PeerLoads()
-    assert loads.take(report("g2", 1, UpstreamWork("u1", 2, 100, 200)), 0.0)
-    assert loads.take(report("g3", 1, UpstreamWork("u1", 1, 10, 20)), 0.0)
-    assert loads.take(report("g2", 3, UpstreamWork("u1", 1, 50, 60)), 0.1)
-    assert not loads.take(report("g2", 2, UpstreamWork("u1", 9, 9, 9)), 0.2)
+    assert loads.merge(report("g2", 1, UpstreamWork("u1", 2, 100, 200)), 0.0)
+    assert loads.merge(report("g3", 1, UpstreamWork("u1", 1, 10, 20)), 0.0)
+    assert loads.merge(report("g2", 3, UpstreamWork("u1", 1, 50, 60)), 0.1)
+    assert not loads.merge(report("g2", 2, UpstreamWork("u1", 9, 9, 9)), 0.2)
     totals = loads.at("u1")
     assert (totals.requests, totals.prefill_tokens, totals.kv_tokens) == (2, 60, 80)
-    assert loads.take(report("g2", 1, incarnation="2"), 0.3)
+    assert loads.merge(report("g2", 1, incarnation="2"), 0.3)
     assert loads.at("u1").requests == 1
 
 
 def test_partial_report_replaces_only_the_upstreams_it_names() -> None:
     loads = PeerLoads()
     both_works = UpstreamWork("u1", 2, 100, 200), UpstreamWork("u2", 1, 10, 20)
-    loads.take(report("g2", 1, *both_works), 0.0)
+    loads.merge(report("g2", 1, *both_works), 0.0)
     ended = WorkReport("g2", "1", 2, (UpstreamWork("u2", 0, 0, 0),), whole=False)
-    assert loads.take(ended, 0.1)
+    assert loads.merge(ended, 0.1)
     assert (loads.at("u1").requests, loads.at("u2").requests) == (2, 0)
     grown = WorkReport("g2", "1", 3, (UpstreamWork("u1", 5, 300, 400),), whole=False)
-    assert loads.take(grown, 0.2)
+    assert loads.merge(grown, 0.2)
     assert (loads.at("u1").requests, loads.at("u1").kv_tokens) == (5, 400)
     # A whole report makes up for lost messages with changes.
-    loads.take(report("g2", 9, UpstreamWork("u3", 1, 0, 0)), 0.3)
+    loads.merge(report("g2", 9, UpstreamWork("u3", 1, 0, 0)), 0.3)
     assert [loads.at(name).requests for name in ("u1", "u2", "u3")] == [0, 0, 1]
     # Changes of another incarnation imply that all work of the earlier one has ended.
-    loads.take(WorkReport("g2", "2", 1, (both_works[1],), whole=False), 0.4)
+    loads.merge(WorkReport("g2", "2", 1, (both_works[1],), whole=False), 0.4)
     assert [loads.at(name).requests for name in ("u1", "u2", "u3")] == [0, 1, 0]
 
 
@@ -84,10 +84,10 @@
 
 def test_work_of_a_silent_gateway_expires() -> None:
     loads = PeerLoads()
-    loads.take(report("g2", 1, UpstreamWork("u1", 2, 0, 0)), 0.0)
-    loads.expire(FORGET_S - 0.1)
+    loads.merge(report("g2", 1, UpstreamWork("u1", 2, 0, 0)), 0.0)
+    loads.expire(REPORT_RETENTION_S - 0.1)
     assert loads.at("u1").requests == 2
-    loads.expire(FORGET_S)
+    loads.expire(REPORT_RETENTION_S)
     assert (loads.at("u1").requests, len(loads)) == (0, 0)
 
 
@@ -98,17 +98,17 @@
     load.reported(ReportedLoad(running=4, waiting=1, slots=6), 0.0)
     assert load.load(0.0, None).requests == 5
     assert load.load(60.0, None).requests == pytest.approx(1)
-    load.first_part(work)
+    load.prefill_done(work)
     assert load.load(60.0, None).prefill_tokens == 0
     load.ended(work, prefilled=True)
-    assert load.own == (0, 0, 0)
+    assert load.own_work == (0, 0, 0)
 
 
 def test_pause_after_each_failure_doubles_up_to_a_maximum() -> None:
     load = UpstreamLoad()
     pauses = []
     for _ in range(6):
-        load.unreachable(0.0)
+        load.note_unreachable(0.0)
         pauses.append(load.suspect_until)
     assert pauses == [0.5, 1.0, 2.0, 4.0, 6.0, 6.0]
     load.answered(failed=False)
@@ -120,24 +120,24 @@
     parts = (GUIDE, LOT)
     assert not view.lacks("s", parts)  # it has not answered yet
     events = (StoreEvent("s", "guide", 2_000), StoreEvent("s", "lot", 3_999))
-    view.take(StoreNews("1", events))
+    view.take(StoreUpdate("1", events))
     assert view.held_tokens("s", parts) == 2_000
     assert view.lacks("s", parts)
-    view.take(StoreNews("1", (StoreEvent("s", "lot", 4_000),)))
+    view.take(StoreUpdate("1", (StoreEvent("s", "lot", 4_000),)))
     assert (view.held_tokens("s", parts), view.lacks("s", parts)) == (6_000, False)
     assert view.held_tokens("other salt", parts) == 0
-    view.take(StoreNews("1", (StoreEvent("s", "guide", 0),)))
+    view.take(StoreUpdate("1", (StoreEvent("s", "guide", 0),)))
     assert view.held_tokens("s", parts) == 0
     view.lost()
     assert not view.lacks("s", parts)
-    view.take(StoreNews("2", ()))
+    view.take(StoreUpdate("2", ()))
     assert view.held_tokens("s", (LOT,)) == 0
 
 
 def test_complete_list_replaces_the_view() -> None:
     view = StoreView("store")
-    view.take(StoreNews("1", (StoreEvent("s", "guide", 2_000),)))
-    view.take(StoreNews("1", (StoreEvent("s", "lot", 4_000),), whole=True))
+    view.take(StoreUpdate("1", (StoreEvent("s", "guide", 2_000),)))
+    view.take(StoreUpdate("1", (StoreEvent("s", "lot", 4_000),), whole=True))
     held = [view.held_tokens("s", (part,)) for part in (GUIDE, LOT)]
     assert held == [0, 4_000]
 
@@ -351,7 +351,7 @@
     directory, peers = Directory(), PeerLoads()
     for number in range(4):
         directory.offer(record(f"u{number}", model="m"), 0.0)
-    peers.take(report("g2", 1, UpstreamWork("u1", 2, 400, 8_000)), 0.0)
+    peers.merge(report("g2", 1, UpstreamWork("u1", 2, 400, 8_000)), 0.0)
     view = Upstreams(
         *(directory, "local", random.Random(1), peers, NamedWeights(), 8.0, Stores()),
         EndedIncarnations(),
@@ -359,7 +359,7 @@
     )
     asked = prompt(("guide", 100), ("lot", 100))
     assert candidates_by_name(view, asked, 0.0)["u0"].load == IDLE
-    peers.note_unheard(6, 1)
+    peers.note_unreported(6, 1)
     by_name = candidates_by_name(view, asked, 0.0)
     assert by_name["u0"].load == Load(3.0, 600.0, 12_000.0)
     assert by_name["u1"].load == Load(5.0, 1_000.0, 20_000.0)
@@ -378,9 +378,9 @@
     load = view.load_of("u1")
     runs = [load.runs.began(bytes(16)) for _ in range(8)]
     for run in runs:
-        load.unreachable(10.0)
+        load.note_unreachable(10.0)
         view.run_ended("u1", load, run, 10.0, RunEnd.BROKE)
-    assert load.suspect_until > 10.0 + NOTICED_S
+    assert load.suspect_until > 10.0 + END_DETECTION_S
     assert [due.name for due in view.due_for_probe(10.1)] == ["u1"]
     assert view.due_for_probe(10.2) == []
 
--- a/tests/test_open_runs.py
+++ b/tests/test_open_runs.py
@@ -12,8 +12,8 @@
 from gooseberrydale.process.gateway import upstreams as upstreams_module
 from gooseberrydale.request.fingerprint import fingerprint, shown
 from gooseberrydale.version.open_runs import (
+    END_DETECTION_S,
     MAX_BROKEN_RUNS,
-    NOTICED_S,
     LostRuns,
     OpenRuns,
     RunEnd,
@@ -29,16 +29,16 @@
     runs = OpenRuns()
     runs.began(A)
     runs.began(B).answering = True
-    assert runs.over(1.0) == LostRuns((A,), (B,))
-    assert runs.is_over
-    assert not runs.over(1.1)
+    assert runs.mark_ended(1.0) == LostRuns((A,), (B,))
+    assert runs.has_ended
+    assert not runs.mark_ended(1.1)
 
 
 @pytest.mark.parametrize(
     ("detected_s", "end", "reported"),
     [
         (0.3, RunEnd.BROKE, (A,)),
-        (NOTICED_S, RunEnd.BROKE, ()),  # too early to be caused by the end
+        (END_DETECTION_S, RunEnd.BROKE, ()),  # too early to be caused by the end
         (0.3, RunEnd.LEFT, (A,)),  # the upstream may have kept running it
         (0.3, RunEnd.ANSWERED, ()),  # the run ended before the upstream
     ],
@@ -48,25 +48,25 @@
 ) -> None:
     runs = OpenRuns()
     runs.ended(runs.began(A), 5.0, end)
-    assert runs.over(5.0 + detected_s) == LostRuns(waiting=reported)
+    assert runs.mark_ended(5.0 + detected_s) == LostRuns(waiting=reported)
 
 
 def test_runs_that_break_after_the_end_are_reported_then() -> None:
     runs = OpenRuns()
-    runs.over(1.0)
+    runs.mark_ended(1.0)
     runs.ended(runs.began(A), 1.2, RunEnd.BROKE)
-    assert runs.over(1.2) == LostRuns((A,))
+    assert runs.mark_ended(1.2) == LostRuns((A,))
 
 
 @pytest.mark.parametrize("end", RunEnd)
 def test_a_broken_run_triggers_one_probe_of_its_upstream(end: RunEnd) -> None:
     runs = OpenRuns()
     runs.ended(runs.began(A), 1.0, end)
-    assert runs.take_doubt() == (end is RunEnd.BROKE)
-    assert not runs.take_doubt()
-    runs.over(1.1)
+    assert runs.take_run_broke() == (end is RunEnd.BROKE)
+    assert not runs.take_run_broke()
+    runs.mark_ended(1.1)
     runs.ended(runs.began(A), 1.2, end)
-    assert not runs.take_doubt()
+    assert not runs.take_run_broke()
 
 
 def test_the_number_of_broken_runs_is_bounded() -> None:
@@ -74,7 +74,7 @@
     for number in range(2 * MAX_BROKEN_RUNS):
         request = number.to_bytes(16, "big")
         runs.ended(runs.began(request), 1.0, RunEnd.BROKE)
-    assert len(runs.over(1.0).waiting) == MAX_BROKEN_RUNS
+    assert len(runs.mark_ended(1.0).waiting) == MAX_BROKEN_RUNS
 
 
 CONTENT = ("west", "POST", "shop.example", "/calls/1?x=1", b"body")
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -363,9 +363,9 @@
         if next_step(queued, own, Wait(0.0), Goal(OBJECTIVE_S, 0)) is Step.SEND:
             sent += 1
             load.began(PROMPT.work_at(engine))
-            load.first_part(PROMPT.work_at(engine))
+            load.prefill_done(PROMPT.work_at(engine))
     assert sent == int(FULL_KV * MEMORY_FRACTION / PROMPT.tokens)
-    assert load.own == (sent, 0, sent * PROMPT.tokens)
+    assert load.own_work == (sent, 0, sent * PROMPT.tokens)
 
 
 def test_late_requests_take_only_capacity_that_others_can_spare() -> None:
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -29,10 +29,10 @@
     EndedIncarnations,
 )
 from gooseberrydale.version.mean_work import MeanWork
-from gooseberrydale.version.patience import Patience
 from gooseberrydale.version.run_times import RunTimes
 from gooseberrydale.version.upstream_limits import UpstreamLimits
 from gooseberrydale.version.upstream_load import Load
+from gooseberrydale.version.wait_limits import WaitLimits
 from tests import builders_incarnations as incarnations
 from tests.builders_gateway import no_limits, prompt, record, route
 from tests.clock import run_paused
@@ -82,10 +82,10 @@
 
 def observed_stats() -> ObservedStats:
     """Return the statistics of large prompts from callers with equal wait limits."""
-    stats = ObservedStats(RunTimes(), MeanWork(), Patience())
+    stats = ObservedStats(RunTimes(), MeanWork(), WaitLimits())
     for _ in range(100):
         stats.mean_work.sent("p", 2_900)
-        stats.patience.waited_before_s(route().name, TIMEOUT_S)
+        stats.patience.prior_wait_s(route().name, TIMEOUT_S)
     return stats
 
 
@@ -224,8 +224,8 @@
     row: tuple[list[float], float, float],
 ) -> None:
     before, wait_s, expected = row
-    patience = Patience()
+    patience = WaitLimits()
     for limit_s in before:
-        patience.waited_before_s("r", limit_s)
-    assert patience.waited_before_s("r", wait_s) == pytest.approx(expected)
-    assert patience.waited_before_s("r", None) == 0.0
+        patience.prior_wait_s("r", limit_s)
+    assert patience.prior_wait_s("r", wait_s) == pytest.approx(expected)
+    assert patience.prior_wait_s("r", None) == 0.0
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -36,7 +36,7 @@
 def probed(silence: Silence, until: float, step_s: float = 0.1) -> list[float]:
     """Return the times of probes if a probe is considered every ``step_s``."""
     moments = [round(n * step_s, 3) for n in range(round(until / step_s))]
-    return [now for now in moments if silence.is_doubtful(now, NEVER)]
+    return [now for now in moments if silence.is_probe_due(now, NEVER)]
 
 
 def test_an_upstream_without_requests_is_never_probed() -> None:
@@ -53,8 +53,8 @@
     silence = Silence()
     silence.opened(0.0)
     for tenth in range(1, 50):
-        silence.heard(tenth / 10)
-        assert not silence.is_doubtful(tenth / 10 + 0.09, NEVER)
+        silence.note_received(tenth / 10)
+        assert not silence.is_probe_due(tenth / 10 + 0.09, NEVER)
 
 
 def test_a_live_but_silent_upstream_is_probed_ever_less_often() -> None:
@@ -63,20 +63,20 @@
     silence.opened(0.0)
     moments = []
     for now in (n / 10 for n in range(40)):
-        if silence.is_doubtful(now, NEVER):
+        if silence.is_probe_due(now, NEVER):
             moments.append(now)
-            silence.reached(now)
+            silence.probe_succeeded(now)
     pauses = [after - at for at, after in zip(moments, moments[1:])]
     assert len(moments) <= 4 and pauses == sorted(pauses)
     # Bytes arrived: the next silence leads to a probe as early as the first one.
-    silence.heard(4.0)
-    assert silence.is_doubtful(4.0 + SILENT_S, NEVER)
+    silence.note_received(4.0)
+    assert silence.is_probe_due(4.0 + SILENT_S, NEVER)
 
 
 def test_a_single_failed_probe_declares_no_upstream_dead() -> None:
     silence = Silence()
     silence.opened(0.0)
-    verdicts = [silence.unanswered(0.3 * n) for n in range(MAX_FAILED_PROBES)]
+    verdicts = [silence.probe_failed(0.3 * n) for n in range(MAX_FAILED_PROBES)]
     assert verdicts == [False] * (MAX_FAILED_PROBES - 1) + [True]
 
 
@@ -92,28 +92,28 @@
     silence.watch(first)
     silence.watch(second)
     silence.unwatch(second)
-    assert (silence.give_up(), broken) == (1, ["first"])
-    assert silence.give_up() == 0
+    assert (silence.abort_all(), broken) == (1, ["first"])
+    assert silence.abort_all() == 0
 
 
 def test_reports_by_others_are_ignored_just_after_a_successful_probe() -> None:
     silence = Silence()
-    assert silence.doubt(0.0)
-    assert silence.is_doubtful(0.0, NEVER)
-    silence.reached(0.1)
-    assert not silence.doubt(0.1 + OWN_PROBE_TRUST_S / 2)
-    assert silence.doubt(0.1 + 2 * OWN_PROBE_TRUST_S)
+    assert silence.report_dead(0.0)
+    assert silence.is_probe_due(0.0, NEVER)
+    silence.probe_succeeded(0.1)
+    assert not silence.report_dead(0.1 + OWN_PROBE_TRUST_S / 2)
+    assert silence.report_dead(0.1 + 2 * OWN_PROBE_TRUST_S)
 
 
 def test_an_avoided_upstream_is_probed_before_its_backoff_ends() -> None:
     """Otherwise a request would be sent to find out, and lost."""
     load = UpstreamLoad()
-    load.unreachable(0.0)
+    load.note_unreachable(0.0)
     until = load.suspect_until
     moments = [n / 100 for n in range(200)]
-    first = next(m for m in moments if load.silence.is_doubtful(m, until))
+    first = next(m for m in moments if load.silence.is_probe_due(m, until))
     assert first < until - 0.3
-    load.silence.reached(first)
+    load.silence.probe_succeeded(first)
     assert load.reached() == 1
     assert load.suspect_until < 0
 
@@ -206,7 +206,7 @@
             # The load of an incarnation is dropped with it.
             del upstreams._loads["u1"]
             later = upstreams.load_of("u1")
-            later.unreachable(asyncio.get_running_loop().time())
+            later.note_unreachable(asyncio.get_running_loop().time())
             suspected_until = later.suspect_until
             over.set()
             await calling
@@ -244,7 +244,7 @@
 
         monkeypatch.setattr(prober, "HttpConn", LateConn)
         probed = loads["u1"]
-        probed.silence.unanswered(0.0)
+        probed.silence.probe_failed(0.0)
         incarnations = IncarnationRecorder()
         upstreams = cast(Upstreams, incarnations)
         await prober.Prober(upstreams, lambda: None)._ask(record("u1"))
--- a/tests/test_store_follower.py
+++ b/tests/test_store_follower.py
@@ -22,15 +22,15 @@
 from gooseberrydale.version.declared import KvStoreDecl
 from gooseberrydale.version.route_table import RouteTable
 from gooseberrydale.version.store_followers import (
-    ALL_FOLLOW,
-    RELAY_SILENT_S,
+    MAX_ALL_FOLLOWING,
+    RELAY_TIMEOUT_S,
     RELAYS,
-    Part,
+    Role,
     StoreTidings,
-    part_of,
-    tidings,
+    role_of,
+    store_messages,
 )
-from gooseberrydale.version.store_view import StoreEvent, StoreNews
+from gooseberrydale.version.store_view import StoreEvent, StoreUpdate
 from gooseberrydale.version.stores import Stores
 from tests.builders_gateway import declared
 from tests.clock import run_paused
@@ -65,14 +65,14 @@
             self.waiting -= 1
         if not self.up:
             return None
-        update = StoreNews(self.incarnation, tuple(self.events[since:]))
+        update = StoreUpdate(self.incarnation, tuple(self.events[since:]))
         return FollowReply(update, len(self.events))
 
     async def read_all(self, address: str) -> FollowReply | None:
         self.lists += 1
         if not self.up:
             return None
-        update = StoreNews(self.incarnation, tuple(self.events), whole=True)
+        update = StoreUpdate(self.incarnation, tuple(self.events), whole=True)
         return FollowReply(update, len(self.events))
 
 
@@ -113,7 +113,7 @@
 
     def holding(self) -> int:
         """Count the gateways whose view says that the store holds the prefix."""
-        views = [stores.of([LOT]) for stores in self.stores]
+        views = [stores.store_for([LOT]) for stores in self.stores]
         return sum(view is not None and view.holds("s", [LOT]) for view in views)
 
 
@@ -148,10 +148,10 @@
         assert fleet.holding() == 20
         store.up = False
         await asyncio.sleep(2.0)
-        assert [stores.of([LOT]) for stores in fleet.stores] == [None] * 20
+        assert [stores.store_for([LOT]) for stores in fleet.stores] == [None] * 20
         store.up, store.incarnation, store.events = True, "2", []
         await asyncio.sleep(3.0)
-        views = [stores.of([LOT]) for stores in fleet.stores]
+        views = [stores.store_for([LOT]) for stores in fleet.stores]
         assert all(view is not None and view.lacks("s", [LOT]) for view in views)
         await fleet.close()
 
@@ -166,7 +166,7 @@
         await asyncio.sleep(3.0)
         fleet.muted = set(fleet.names)
         store.events.append(StoreEvent("s", "lot", 4_000))
-        await asyncio.sleep(RELAY_SILENT_S + LIST_READ_SPREAD_S + 1.0)
+        await asyncio.sleep(RELAY_TIMEOUT_S + LIST_READ_SPREAD_S + 1.0)
         assert fleet.holding() == 20
         await fleet.close()
 
@@ -174,20 +174,20 @@
 
 
 def test_roles_of_gateways() -> None:
-    few = {f"g{number}": 0.0 for number in range(ALL_FOLLOW)}
-    assert {part_of(name, few, STORE) for name in few} == {Part.FOLLOW}
+    few = {f"g{number}": 0.0 for number in range(MAX_ALL_FOLLOWING)}
+    assert {role_of(name, few, STORE) for name in few} == {Role.FOLLOW}
     many = {f"g{number}": 0.0 for number in range(40)}
     for store in ("a", "b", "c"):
-        parts = [part_of(name, many, store) for name in many]
-        assert parts.count(Part.RELAY) == RELAYS
-        assert parts.count(Part.LISTEN) == len(many) - RELAYS
+        parts = [role_of(name, many, store) for name in many]
+        assert parts.count(Role.RELAY) == RELAYS
+        assert parts.count(Role.LISTEN) == len(many) - RELAYS
 
 
 WIDE, THIN = 100.0, 5.0
 
 
 def relays(links: dict[str, float], store: str) -> set[str]:
-    return {name for name in links if part_of(name, links, store) is Part.RELAY}
+    return {name for name in links if role_of(name, links, store) is Role.RELAY}
 
 
 @pytest.mark.parametrize("store", ["a", "b", "c"])
@@ -214,27 +214,27 @@
         StoreEvent("a-model-name.12345678.a-workspace", f"{n:016x}", 9_999)
         for n in range(100)
     )
-    messages = tidings("10.100.100.100:10000", "123456789012", events, up=True)
+    messages = store_messages("10.100.100.100:10000", "123456789012", events, up=True)
     assert sum((message.events for message in messages), ()) == events
     assert max(len(encode(message)) for message in messages) < 2_000
-    assert len(tidings(STORE, "1", (), up=True)) == 1
+    assert len(store_messages(STORE, "1", (), up=True)) == 1
 
 
 def test_prefixes_are_distributed_over_the_stores_that_answer() -> None:
     stores = Stores()
     stores.declare(["a", "b", "c"])
     parts = [[PromptPart(f"lot{number}", 4_000)] for number in range(300)]
-    assert stores.of(parts[0]) is None
+    assert stores.store_for(parts[0]) is None
     for address in ("a", "b", "c"):
         view = stores.view(address)
         assert view is not None
-        view.take(StoreNews("1", ()))
-    before = [chosen.address for part in parts if (chosen := stores.of(part))]
+        view.take(StoreUpdate("1", ()))
+    before = [chosen.address for part in parts if (chosen := stores.store_for(part))]
     assert all(before.count(address) > 70 for address in ("a", "b", "c"))
     lost = stores.view("b")
     assert lost is not None
     lost.lost()
-    after = [chosen.address for part in parts if (chosen := stores.of(part))]
+    after = [chosen.address for part in parts if (chosen := stores.store_for(part))]
     moved = [old for old, new in zip(before, after, strict=True) if old != new]
     assert set(moved) == {"b"} and "b" not in after
-    assert stores.of([]) is None
+    assert stores.store_for([]) is None
--- a/tests/test_upstream_incarnations.py
+++ b/tests/test_upstream_incarnations.py
@@ -17,10 +17,10 @@
 from gooseberrydale.process.control.announcements import Announcements
 from gooseberrydale.version.directory import Directory
 from gooseberrydale.version.upstream_incarnation import (
+    announced_incarnation,
     born_ms,
     incarnation_after,
     incarnation_name,
-    incarnation_told,
 )
 from tests import builders_platform as wire  # puts platform/ on the path
 from tests.clock import run_paused
@@ -269,5 +269,5 @@
     for born in moments[1:]:
         incarnations.append(incarnation_after(incarnations[-1], born))
         assert born_ms(incarnations[-1]) == born
-        assert incarnation_told(incarnations[-1], born) == incarnations[-1]
+        assert announced_incarnation(incarnations[-1], born) == incarnations[-1]
     assert incarnations == sorted(incarnations)
