--- a/gooseberrydale/connection/limit_gossip.py
+++ b/gooseberrydale/connection/limit_gossip.py
@@ -40,7 +40,7 @@
             await asyncio.gather(self._task, return_exceptions=True)
 
     def _receive(self, report: LimitReport) -> None:
-        self._limits.take(report, asyncio.get_running_loop().time())
+        self._limits.merge(report, asyncio.get_running_loop().time())
 
     async def _repeat(self) -> None:
         loop = asyncio.get_running_loop()
--- a/gooseberrydale/process/quota_client.py
+++ b/gooseberrydale/process/quota_client.py
@@ -239,11 +239,11 @@
                 continue
             self._suspects.pop(owner.name, None)
             if verdict.granted or not verdict.young:
-                account.heard(verdict.level, _now())
+                account.note_received(verdict.level, _now())
                 return verdict
             refused = refused or verdict
         if refused is not None:
-            account.heard(refused.level, _now())
+            account.note_received(refused.level, _now())
         return refused
 
     def _ask_of(self, account: Account, want: Want) -> QuotaAsk:
@@ -386,7 +386,7 @@
             if account is None or not owners:
                 continue
             if owners[0].name == notice.owner:
-                account.heard(level, now)
+                account.note_received(level, now)
             else:
                 account.record_fallback_notice(level, now)
 
--- a/gooseberrydale/version/quotas/account.py
+++ b/gooseberrydale/version/quotas/account.py
@@ -112,7 +112,7 @@
         self._unanswered_since = min(self._unanswered_since, now)
         return self.item(now)
 
-    def heard(self, level: Level, now: float) -> None:
+    def note_received(self, level: Level, now: float) -> None:
         """Record an answer or a notice of an owner."""
         self._level, self._level_at = level, now
         self._unanswered_since = math.inf
--- a/gooseberrydale/version/upstream_limits.py
+++ b/gooseberrydale/version/upstream_limits.py
@@ -121,7 +121,7 @@
             return
         self._note(upstream, per_s, now, now)
 
-    def take(self, report: LimitReport, now: float) -> None:
+    def merge(self, report: LimitReport, now: float) -> None:
         """Merge the report of another gateway."""
         for notice in report.notices:
             answered_at = now - notice.age_ms / 1_000.0
--- a/tests/builders_limit_fleet.py
+++ b/tests/builders_limit_fleet.py
@@ -165,7 +165,7 @@
             if other is not node and self.rng.random() >= self.loss:
                 received = decode(data)
                 assert isinstance(received, LimitReport)
-                other.limits.take(received, self.now)
+                other.limits.merge(received, self.now)
                 self._note_known(other)
 
     def _note_known(self, node: Node) -> None:
