--- a/gooseberrydale/process/control/control.py
+++ b/gooseberrydale/process/control/control.py
@@ -53,12 +53,12 @@
 from gooseberrydale.process.membership import Mesh, PeerState
 from gooseberrydale.process.role import Role
 from gooseberrydale.process.tls import tls_files
-from gooseberrydale.version.acknowledgements import Acknowledgements, Standing
+from gooseberrydale.version.acknowledgements import Acknowledgements, RevisionStatus
 from gooseberrydale.version.config_store import ConfigStore
 from gooseberrydale.version.control_state import ControlState
 from gooseberrydale.version.declarations import Config
 from gooseberrydale.version.directory import (
-    PASSED_RENEWAL_PART,
+    RENEWAL_PROPAGATION_FRACTION,
     Directory,
     new_incarnation,
 )
@@ -133,8 +133,8 @@
         self.state = ControlState(declarations)
         # In an open group upstreams announce themselves, and their leases are long
         # enough to propagate only some of the renewals.
-        propagation_fraction = PASSED_RENEWAL_PART if own.open_group else 0.0
-        self.directory = Directory(renewal_part=propagation_fraction)
+        propagation_fraction = RENEWAL_PROPAGATION_FRACTION if own.open_group else 0.0
+        self.directory = Directory(propagation_fraction=propagation_fraction)
         self.ended_incarnations = EndedIncarnations()
         self._ended_cache: EndedIncarnationsCache | None = None
         if not in_memory:
@@ -335,14 +335,14 @@
         )
 
     def _on_ack(self, peer: PeerState) -> None:
-        self._acknowledgements.heard(
-            Standing(
+        self._acknowledgements.record_status(
+            RevisionStatus(
                 role=peer.role,
                 name=peer.name,
                 incarnation=peer.incarnation,
                 zone=peer.zone,
                 revision=peer.revision,
-                heard_at=peer.heard_at,
+                received_at=peer.heard_at,
             )
         )
 
@@ -388,7 +388,7 @@
         lease_s=OPEN_LEASE_S,
         snapshot_entries=cfg.snapshot_entries,
         keep_entries=cfg.snapshot_entries,
-        open_to=2 * cfg.tolerated_losses + 1,
+        max_voters=2 * cfg.tolerated_losses + 1,
     )
 
 
--- a/gooseberrydale/process/control/operator_api.py
+++ b/gooseberrydale/process/control/operator_api.py
@@ -48,7 +48,7 @@
 from gooseberrydale.process.control.operator_auth import OperatorTokens
 from gooseberrydale.request.fingerprint import shown
 from gooseberrydale.version.acknowledgements import Acknowledgements
-from gooseberrydale.version.change import joined
+from gooseberrydale.version.change import join_faults
 from gooseberrydale.version.control_state import ControlState
 from gooseberrydale.version.declarations import Profile, Workspace
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
@@ -293,7 +293,7 @@
             return await self._refuse_and_audit(request, operator, INVALID_CHANGE_ID)
         req = ChangeReq(body.change_id, body.base, operator, body.edits)
         if body.dry_run:
-            return _change_response(self._state.try_out(req), dry_run=True)
+            return _change_response(self._state.preview(req), dry_run=True)
         match await self._commit.submit(req):
             case Ok(reply):
                 return _change_response(reply)
@@ -441,5 +441,5 @@
         case Ok(body):
             return Ok(body)
         case Err(faults):
-            reason = joined([str(fault) for fault in faults])
+            reason = join_faults([str(fault) for fault in faults])
             return Err(problem(INVALID_FIELD, reason=reason))
--- a/gooseberrydale/process/control/operator_views.py
+++ b/gooseberrydale/process/control/operator_views.py
@@ -12,7 +12,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.errors import Problem
 from gooseberrydale.request.fingerprint import shown
-from gooseberrydale.version.acknowledgements import Standing
+from gooseberrydale.version.acknowledgements import RevisionStatus
 from gooseberrydale.version.declarations import Config, Profile, Workspace
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 
@@ -88,7 +88,9 @@
     return table
 
 
-def process_tables(statuses: list[Standing], revision: int, now: float) -> list[Table]:
+def process_tables(
+    statuses: list[RevisionStatus], revision: int, now: float
+) -> list[Table]:
     """Return each process with the revision in force there; ``now`` is loop time."""
     return [
         {
@@ -97,7 +99,7 @@
             "zone": process.zone,
             "revision": process.revision,
             "behind": process.revision < revision,
-            "heard_s_ago": round(max(0.0, now - process.heard_at), 1),
+            "heard_s_ago": round(max(0.0, now - process.received_at), 1),
         }
         for process in statuses
     ]
--- a/gooseberrydale/process/control/replica.py
+++ b/gooseberrydale/process/control/replica.py
@@ -317,7 +317,7 @@
         return self._links.get(name)
 
     def _address(self, name: str) -> str:
-        return self._cfg.replicas.get(name, name if self._raft.open_to else "")
+        return self._cfg.replicas.get(name, name if self._raft.max_voters else "")
 
     def _start_writing(self) -> None:
         if self._writing or not self._queued_writes:
--- a/gooseberrydale/process/control/weights_rollout.py
+++ b/gooseberrydale/process/control/weights_rollout.py
@@ -28,10 +28,10 @@
 from gooseberrydale.version.named_weights import NamedWeights
 from gooseberrydale.version.order_marks import is_mark, mark
 from gooseberrydale.version.rollout import (
-    USED_PART,
-    USED_PART_SHORT,
+    DEADLINE_FRACTION,
+    DEADLINE_FRACTION_DEGRADED,
     EngineWeights,
-    due,
+    engines_to_change,
 )
 
 CHECK_INTERVAL_S = 0.1
@@ -124,7 +124,7 @@
 
     async def _run(self) -> None:
         while True:
-            self._named.note(self._machine.state.config.weights, _now())
+            self._named.record(self._machine.state.config.weights, _now())
             if self._may_order():
                 for name in self._choose_engines():
                     self._start_change(name)
@@ -179,7 +179,7 @@
             # engines respond and which have the fewest requests.
             return []
         remaining_s = self._remaining_s(engines)
-        return due(
+        return engines_to_change(
             engines, named, self._changing, self._poller.unresponsive, remaining_s
         )
 
@@ -189,7 +189,11 @@
 
         Engines that start up with weights that were outdated long ago don't shorten it.
         """
-        usable_fraction = USED_PART_SHORT if self._poller.unresponsive else USED_PART
+        usable_fraction = (
+            DEADLINE_FRACTION_DEGRADED
+            if self._poller.unresponsive
+            else DEADLINE_FRACTION
+        )
         allowed_s = self._bound_s * usable_fraction
         remaining: dict[str, float] = {}
         for engine in engines:
--- a/gooseberrydale/process/gateway/declared_store.py
+++ b/gooseberrydale/process/gateway/declared_store.py
@@ -64,7 +64,7 @@
             config = await self._store.wait_newer(revision)
             revision = config.revision
             now = asyncio.get_running_loop().time()
-            for model, version in self.weights.note(config.weights, now):
+            for model, version in self.weights.record(config.weights, now):
                 emit(WeightsNamed(model, version))
             if config.document is not None and config.document.number > self._number:
                 self._take(config.document.number, config.document.body)
--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -48,7 +48,7 @@
 from gooseberrydale.version.config_store import ConfigStore
 from gooseberrydale.version.declared import CallerLimits, Pool
 from gooseberrydale.version.directory import (
-    PASSED_RENEWAL_PART,
+    RENEWAL_PROPAGATION_FRACTION,
     Directory,
     new_incarnation,
 )
@@ -141,7 +141,7 @@
         self._rng = rng if rng is not None else random.SystemRandom()
         self.store = ConfigStore()
         self.directory = Directory(
-            renewal_part=PASSED_RENEWAL_PART, relays_renewals=False
+            propagation_fraction=RENEWAL_PROPAGATION_FRACTION, relays_renewals=False
         )
         self._declared = DeclaredStore(self.store, dialect.decode_document)
         self._conns = HttpPool()
--- a/gooseberrydale/process/sidecar/orders.py
+++ b/gooseberrydale/process/sidecar/orders.py
@@ -21,7 +21,7 @@
 )
 from gooseberrydale.connection.upstream_reply import UpstreamError
 from gooseberrydale.errors import ORDER_REFUSED, UNKNOWN_NAME, Problem, problem
-from gooseberrydale.version.fencing import Fence, Passage
+from gooseberrydale.version.fencing import Fence, OrderDecision
 
 FENCE_TIMEOUT_S = 1.0
 REPLY_TIMEOUT_S = 0.5
@@ -83,12 +83,12 @@
             return OrderReply(req.number, True, refused)
         if self._must_wait(req):
             return OrderReply(req.number, False)
-        decision = self._fence.take(req)
+        decision = self._fence.decide(req)
         if isinstance(decision, Err):
             return OrderReply(req.number, True, decision.err_value)
-        if decision.ok_value is Passage.WAIT:
+        if decision.ok_value is OrderDecision.WAIT:
             return OrderReply(req.number, False)
-        if decision.ok_value is Passage.GIVE:
+        if decision.ok_value is OrderDecision.SEND:
             self._idle.clear()
             self._task = asyncio.create_task(self._send(req))
         return await self._reply(req)
@@ -100,9 +100,9 @@
         repetition of that order itself doesn't wait; it gets the state of the order.
         """
         if self._task is not None and not self._task.done():
-            return not self._fence.is_given(req)
+            return not self._fence.is_last_sent(req)
         now = asyncio.get_running_loop().time()
-        return now < self._wait_until and not self._fence.is_given(req)
+        return now < self._wait_until and not self._fence.is_last_sent(req)
 
     async def _learn_fence(self) -> None:
         reply = await self._ask_control(ReadFenceReq(self._name), FENCE_TIMEOUT_S)
@@ -128,7 +128,7 @@
             logger.warning(
                 "order {} failed with an unknown outcome: {}", req.number, exc
             )
-            self._fence.forget(req.number)
+            self._fence.mark_undelivered(req.number)
             if exc.sent and not self._checks_fencing:
                 now = asyncio.get_running_loop().time()
                 self._wait_until = now + LOST_ORDER_S
--- a/gooseberrydale/version/acknowledgements.py
+++ b/gooseberrydale/version/acknowledgements.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class RevisionStatus:
     """The last status that a process reported, and when it was received."""
 
     role: str
@@ -24,14 +24,14 @@
     incarnation: str
     zone: str
     revision: int
-    heard_at: float
+    received_at: float
 
 
 class Acknowledgements:
     """The latest revision status of each process."""
 
     def __init__(self) -> None:
-        self._statuses: dict[tuple[str, str], Standing] = {}
+        self._statuses: dict[tuple[str, str], RevisionStatus] = {}
         self._grace_ends_at = math.inf
 
     def start(self, now: float) -> None:
@@ -45,7 +45,7 @@
         """
         return now >= self._grace_ends_at and not self.behind(revision, now)
 
-    def heard(self, status: Standing) -> None:
+    def record_status(self, status: RevisionStatus) -> None:
         """Record a status; statuses of an earlier incarnation are ignored."""
         key = (status.role, status.name)
         previous = self._statuses.get(key)
@@ -53,17 +53,17 @@
             return
         self._statuses[key] = status
 
-    def all(self, now: float) -> list[Standing]:
+    def all(self, now: float) -> list[RevisionStatus]:
         """All statuses that have not expired, sorted by role and name."""
         expired = [
             key
             for key, status in self._statuses.items()
-            if status.heard_at + STATUS_RETENTION_S <= now
+            if status.received_at + STATUS_RETENTION_S <= now
         ]
         for key in expired:
             del self._statuses[key]
         return [status for _, status in sorted(self._statuses.items())]
 
-    def behind(self, revision: int, now: float) -> list[Standing]:
+    def behind(self, revision: int, now: float) -> list[RevisionStatus]:
         """The processes whose last reported revision is below ``revision``."""
         return [status for status in self.all(now) if status.revision < revision]
--- a/gooseberrydale/version/change.py
+++ b/gooseberrydale/version/change.py
@@ -119,11 +119,11 @@
     changed = draft.config()
     faults = draft.faults + [str(fault) for fault in config_faults(changed)]
     if faults:
-        return Err(problem(INVALID_DECLARATION, reason=joined(faults)))
+        return Err(problem(INVALID_DECLARATION, reason=join_faults(faults)))
     return Ok(changed)
 
 
-def joined(faults: list[str]) -> str:
+def join_faults(faults: list[str]) -> str:
     """Join faults to one text of at most ``MAX_SHOWN_FAULTS`` faults."""
     shown_faults = faults[:MAX_SHOWN_FAULTS]
     omitted = len(faults) - len(shown_faults)
--- a/gooseberrydale/version/control_state.py
+++ b/gooseberrydale/version/control_state.py
@@ -57,7 +57,7 @@
 from gooseberrydale.version.declarations import Config, Document, Profile, Workspace
 from gooseberrydale.version.orders import OrderTable
 
-SKIPPED_AFTER_RECOVERY = 1_000_000
+NUMBERS_SKIPPED_AFTER_RECOVERY = 1_000_000
 
 
 @message
@@ -186,7 +186,7 @@
         self.claims = ClaimTable(snapshot.claims)
         self.cluster = snapshot.cluster
 
-    def try_out(self, req: ChangeReq) -> ChangeReply:
+    def preview(self, req: ChangeReq) -> ChangeReply:
         """Return the reply that ``req`` would get now, without applying it."""
         match evaluate(self.config, req):
             case Ok(changed):
@@ -206,9 +206,9 @@
         their numbers must not be reused for other content.
         """
         if cluster and self.cluster and cluster != self.cluster:
-            revision = self.config.revision + SKIPPED_AFTER_RECOVERY
+            revision = self.config.revision + NUMBERS_SKIPPED_AFTER_RECOVERY
             self._set_config(replace(self.config, revision=revision))
-            self.orders.skip_numbers(SKIPPED_AFTER_RECOVERY)
+            self.orders.skip_numbers(NUMBERS_SKIPPED_AFTER_RECOVERY)
         self.cluster = cluster or self.cluster
 
     def _handle(self, req: Any) -> Any:
--- a/gooseberrydale/version/directory.py
+++ b/gooseberrydale/version/directory.py
@@ -25,7 +25,7 @@
 MAX_LEASE_S = 60.0
 """Longer leases are shortened to this."""
 
-PASSED_RENEWAL_PART = 0.5
+RENEWAL_PROPAGATION_FRACTION = 0.5
 """Fraction of a lease after which roles with many sessions propagate a renewal again.
 
 Receivers still have nearly half of the lease left, in which two or more further
@@ -104,7 +104,7 @@
 class Directory:
     """Upstream records by name; see the module docstring for the rules.
 
-    A renewal is propagated once the fraction ``renewal_part`` of the last
+    A renewal is propagated once the fraction ``propagation_fraction`` of the last
     propagated lease has passed.  Without ``relays_renewals``, renewals received
     from another process are never propagated.  Other changes always are.  Both
     settings limit traffic in fleets of seventy gateways and more with three sessions
@@ -112,9 +112,9 @@
     """
 
     def __init__(
-        self, *, renewal_part: float = 0.0, relays_renewals: bool = True
+        self, *, propagation_fraction: float = 0.0, relays_renewals: bool = True
     ) -> None:
-        self._renewal_part = renewal_part
+        self._renewal_part = propagation_fraction
         self._relays_renewals = relays_renewals
         # Ordered by version: a propagated record moves to the end.
         self._held: dict[str, _HeldRecord] = {}
--- a/gooseberrydale/version/fencing.py
+++ b/gooseberrydale/version/fencing.py
@@ -21,11 +21,11 @@
 )
 
 
-class Passage(Enum):
+class OrderDecision(Enum):
     """What to do with an order that is not refused."""
 
-    GIVE = "give"
-    REPEATED = "repeated"
+    SEND = "give"
+    DUPLICATE = "repeated"
     WAIT = "wait"
 
 
@@ -52,33 +52,33 @@
             return None
         return problem(STALE_FENCING_NUMBER, number=order.number, current=current)
 
-    def take(self, order: OrderReq) -> Result[Passage, Problem]:
+    def decide(self, order: OrderReq) -> Result[OrderDecision, Problem]:
         """Decide whether to send ``order``, to wait, or to refuse it."""
         if self._highest is None:
-            return Ok(Passage.WAIT)
+            return Ok(OrderDecision.WAIT)
         refusal = self.refusal(order)
         if refusal is not None:
             return Err(refusal)
         if self._last_sent is not None and order.number == self._last_sent.number:
             return self._check_duplicate(order, self._last_sent)
         self._advance(order)
-        return Ok(Passage.GIVE)
+        return Ok(OrderDecision.SEND)
 
-    def is_given(self, order: OrderReq) -> bool:
+    def is_last_sent(self, order: OrderReq) -> bool:
         """Whether ``order`` is the one that was sent last."""
         return order == self._last_sent
 
-    def forget(self, number: int) -> None:
+    def mark_undelivered(self, number: int) -> None:
         """Allow an order that did not reach the upstream to be sent again."""
         if self._last_sent is not None and self._last_sent.number == number:
             self._last_sent = None
 
     def _check_duplicate(
         self, order: OrderReq, last_sent: OrderReq
-    ) -> Result[Passage, Problem]:
+    ) -> Result[OrderDecision, Problem]:
         if order != last_sent:
             return Err(problem(CHANGE_ID_REUSED, change_id=str(order.number)))
-        return Ok(Passage.REPEATED)
+        return Ok(OrderDecision.DUPLICATE)
 
     def _advance(self, order: OrderReq) -> None:
         if self._highest is not None and order.number < self._highest:
--- a/gooseberrydale/version/named_weights.py
+++ b/gooseberrydale/version/named_weights.py
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._named: dict[str, list[tuple[int, float]]] = {}
 
-    def note(self, weights: Mapping[str, int], now: float) -> list[tuple[str, int]]:
+    def record(self, weights: Mapping[str, int], now: float) -> list[tuple[str, int]]:
         """Record the named versions; return the models and versions that are new."""
         newer = []
         for model, version in weights.items():
--- a/gooseberrydale/version/replication/core.py
+++ b/gooseberrydale/version/replication/core.py
@@ -48,9 +48,9 @@
     ``election_min_s``, so a leader stops before another can be elected, even if the
     clocks run at slightly different rates.
 
-    With ``open_to`` above 0 the group is open: any replica may become a member, its
+    With ``max_voters`` above 0 the group is open: any replica may become a member, its
     name is its address, ``names`` are the replicas to send join requests to, and no
-    more than ``open_to`` replicas vote.  The others receive the log without a vote;
+    more than ``max_voters`` replicas vote.  The others receive the log without a vote;
     one of them replaces a voter that has been silent for ``replace_after_s``.
     """
 
@@ -63,7 +63,7 @@
     inflight_entries: int = 1024
     snapshot_entries: int = 1_000
     keep_entries: int = 200
-    open_to: int = 0
+    max_voters: int = 0
     replace_after_s: float = 2.5
 
     def __post_init__(self) -> None:
@@ -137,7 +137,7 @@
 
     def may_join(self, name: str) -> bool:
         """Whether a replica with this name may become a member."""
-        return self.cfg.open_to > 0 or name in self.cfg.names
+        return self.cfg.max_voters > 0 or name in self.cfg.names
 
     @property
     def known_names(self) -> frozenset[str]:
--- a/gooseberrydale/version/replication/joining.py
+++ b/gooseberrydale/version/replication/joining.py
@@ -93,7 +93,7 @@
     """
     current_leader = core.leader
     if (
-        not core.cfg.open_to
+        not core.cfg.max_voters
         or current_leader is None
         or source.name in (current_leader.name, core.me.name)
     ):
@@ -137,7 +137,7 @@
         if _is_silent(core, core.progress[old.identity], now):
             return membership.without(old)
         return None
-    if not core.cfg.open_to or len(membership.members) < core.cfg.open_to:
+    if not core.cfg.max_voters or len(membership.members) < core.cfg.max_voters:
         return membership.with_member(progress.member)
     silent = _longest_silent(core, now)
     return None if silent is None else membership.without(silent)
--- a/gooseberrydale/version/rollout.py
+++ b/gooseberrydale/version/rollout.py
@@ -22,12 +22,12 @@
 Running requests take about 1 s to end, the load takes 0.5 s, and polling adds a delay.
 With a quarter of the engines dead, changes take 1.6 to 2.7 s."""
 
-USED_PART = 0.65
+DEADLINE_FRACTION = 0.65
 """Fraction of the allowed time within which all engines should be changed.
 
 Soon after it, entries stop sending work to engines with outdated weights."""
 
-USED_PART_SHORT = 0.78
+DEADLINE_FRACTION_DEGRADED = 0.78
 """The same fraction while some engines are dead.
 
 The remaining engines carry the whole load, so fewer of them change at a time and the
@@ -56,7 +56,7 @@
     running: int = 0
 
 
-def due(
+def engines_to_change(
     engines: Iterable[EngineWeights],
     named: Mapping[str, int],
     changing: Collection[str],
@@ -85,12 +85,14 @@
     return names
 
 
-def most_at_once(engines: int) -> int:
+def max_concurrent_changes(engines: int) -> int:
     """Maximum number of a model's engines that may change at the same time."""
     return max(MIN_CONCURRENT_CHANGES, math.ceil(engines * MAX_CONCURRENT_FRACTION))
 
 
-def at_once(engines: int, waiting: int, left_s: float, *, dead: int = 0) -> int:
+def concurrent_changes(
+    engines: int, waiting: int, left_s: float, *, dead: int = 0
+) -> int:
     """How many of a model's engines should change at the same time.
 
     ``waiting`` engines have not started to change and ``left_s`` seconds are left: the
@@ -99,7 +101,9 @@
     """
     rounds = max(1, math.floor(left_s / ENGINE_CHANGE_S))
     minimum = 1 if dead else MIN_CONCURRENT_CHANGES
-    return min(most_at_once(engines), max(minimum, math.ceil(waiting / rounds)))
+    return min(
+        max_concurrent_changes(engines), max(minimum, math.ceil(waiting / rounds))
+    )
 
 
 def _engines_of_model(
@@ -118,10 +122,10 @@
     if left_s is None:
         unanswering = sum(member.name in silent for member in members)
         # Change at least one: silent engines may never answer again.
-        allowed = max(1, most_at_once(len(members)) - unanswering)
+        allowed = max(1, max_concurrent_changes(len(members)) - unanswering)
     else:
         dead = sum(member.name in silent for member in members)
-        allowed = at_once(len(members), len(waiting), left_s, dead=dead)
+        allowed = concurrent_changes(len(members), len(waiting), left_s, dead=dead)
     free_slots = allowed - sum(member.name in changing for member in members)
     waiting.sort(key=lambda member: (member.version, member.running, member.name))
     return [member.name for member in waiting[: max(0, free_slots)]]
--- a/tests/builders_replication.py
+++ b/tests/builders_replication.py
@@ -346,7 +346,7 @@
     def __init__(self, size, seed=0, seeds=3):
         super().__init__(size, seed)
         names = self.names[:seeds]
-        self.cfg = replace(small_cfg(names), open_to=3)
+        self.cfg = replace(small_cfg(names), max_voters=3)
         self.wire = []
         for replica in self.replicas.values():
             self.crash(replica)
--- a/tests/test_control_replicated.py
+++ b/tests/test_control_replicated.py
@@ -8,7 +8,7 @@
 
 from gooseberrydale.connection.control_client import ControlClient
 from gooseberrydale.process.control.first_start import init_folder, recover_folder
-from gooseberrydale.version.control_state import SKIPPED_AFTER_RECOVERY
+from gooseberrydale.version.control_state import NUMBERS_SKIPPED_AFTER_RECOVERY
 from tests.builders_control import claim, finish, holder
 from tests.builders_operators import FLEET_TOKEN, Cluster
 
@@ -121,11 +121,14 @@
         await cluster.stop(*cluster.names)
         recover_folder(tmp_path / "control-1", "control-1", force=True)
         await cluster.start("control-1")
-        await wait_in_force(cluster, SKIPPED_AFTER_RECOVERY)
+        await wait_in_force(cluster, NUMBERS_SKIPPED_AFTER_RECOVERY)
         async with cluster.client() as operator:
             resent = (await operator.post("/v1/profiles", FIRST)).unwrap()
             table = (await operator.get_from_leader("/v1/config")).unwrap()
-        assert resent["revision"] == 1 and table["revision"] > SKIPPED_AFTER_RECOVERY
+        assert (
+            resent["revision"] == 1
+            and table["revision"] > NUMBERS_SKIPPED_AFTER_RECOVERY
+        )
         assert [profile["name"] for profile in table["profiles"]] == ["summary"]
 
     run(tmp_path, steps)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -188,7 +188,7 @@
 
 
 def test_renewal_is_propagated_once_the_fraction_of_the_lease_has_passed():
-    directory = Directory(renewal_part=0.5)
+    directory = Directory(propagation_fraction=0.5)
     calls: list[bool] = []
     directory.subscribe(calls.append)
     beats, propagated_at = 20, []
@@ -204,7 +204,7 @@
 
 
 def test_change_is_propagated_immediately_after_a_renewal():
-    directory = Directory(renewal_part=0.5, relays_renewals=False)
+    directory = Directory(propagation_fraction=0.5, relays_renewals=False)
     session = object()
     directory.offer(record(seq=1), 0.0, source=session)
     version = directory.version
@@ -224,7 +224,7 @@
 
 
 def test_record_is_propagated_again_after_its_lease_has_ended():
-    directory = Directory(renewal_part=0.5, relays_renewals=False)
+    directory = Directory(propagation_fraction=0.5, relays_renewals=False)
     directory.offer(record(seq=1), 0.0, source=object())
     version = directory.version
     directory.offer(record(seq=2), LEASE_S + 0.1, source=object())
--- a/tests/test_gateway_views.py
+++ b/tests/test_gateway_views.py
@@ -144,10 +144,10 @@
 
 def test_how_long_weights_have_been_outdated() -> None:
     weights = NamedWeights()
-    weights.note({"m": 1}, 0.0)
-    weights.note({"m": 3}, 10.0)
-    weights.note({"m": 3}, 12.0)
-    weights.note({"m": 4}, 20.0)
+    weights.record({"m": 1}, 0.0)
+    weights.record({"m": 3}, 10.0)
+    weights.record({"m": 3}, 12.0)
+    weights.record({"m": 4}, 20.0)
     ages_s = [weights.outdated_for_s("m", version, 25.0) for version in range(5)]
     assert ages_s == [25.0, 15.0, 15.0, 5.0, 0.0]
     assert weights.outdated_for_s("other", 1, 25.0) == 0.0
@@ -301,8 +301,8 @@
     for name, version in [("old", "1"), ("new", "2")]:
         directory.offer(record(name, model="m", weights_version=version), 0.0)
     view = upstreams(directory, weights)
-    weights.note({"m": 1}, 0.0)
-    weights.note({"m": 2}, 1.0)
+    weights.record({"m": 1}, 0.0)
+    weights.record({"m": 2}, 1.0)
     asked = prompt(("guide", 100))
     # The weights are outdated since 1.0 s and the bound is 8 s.  As work may wait 2.4 s
     # inside an engine, new work ends 2.5 s earlier, at 6.5 s.
--- a/tests/test_mesh_messages.py
+++ b/tests/test_mesh_messages.py
@@ -26,7 +26,7 @@
 from gooseberrydale.version.config_store import ConfigStore
 from gooseberrydale.version.declarations import Config
 from gooseberrydale.version.directory import (
-    PASSED_RENEWAL_PART,
+    RENEWAL_PROPAGATION_FRACTION,
     Directory,
     new_incarnation,
 )
@@ -330,7 +330,7 @@
 
     async def main() -> int:
         control = await make_node("control", "c1")
-        control.directory = Directory(renewal_part=PASSED_RENEWAL_PART)
+        control.directory = Directory(propagation_fraction=RENEWAL_PROPAGATION_FRACTION)
         control.directory.subscribe(control._records_changed)
         pipe = Pipe(await make_node("gateway", "g1"), control)
         loop = asyncio.get_running_loop()
--- a/tests/test_operator_api.py
+++ b/tests/test_operator_api.py
@@ -12,7 +12,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.connection.rpc import PROPOSE, RpcChannel
 from gooseberrydale.process.control import Control
-from gooseberrydale.version.acknowledgements import Acknowledgements, Standing
+from gooseberrydale.version.acknowledgements import Acknowledgements, RevisionStatus
 from gooseberrydale.version.config_store import ConfigStore
 from gooseberrydale.version.declarations import Config
 from tests.builders_control import change, claim, finish, holder, profile
@@ -225,10 +225,12 @@
 
 
 def test_acknowledgements_list_the_process_that_is_behind():
-    standing = Standing("entry", "entry-1", "i2", "z", 3, heard_at=10.0)
+    standing = RevisionStatus("entry", "entry-1", "i2", "z", 3, received_at=10.0)
     acknowledgements = Acknowledgements()
-    acknowledgements.heard(standing)
-    acknowledgements.heard(Standing("entry", "entry-1", "i1", "z", 9, heard_at=11.0))
+    acknowledgements.record_status(standing)
+    acknowledgements.record_status(
+        RevisionStatus("entry", "entry-1", "i1", "z", 9, received_at=11.0)
+    )
     assert acknowledgements.behind(3, now=12.0) == []
     assert acknowledgements.behind(4, now=12.0) == [standing]
     assert acknowledgements.behind(4, now=400.0) == []
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -22,7 +22,7 @@
 )
 from gooseberrydale.errors import NO_QUORUM, Problem, problem
 from gooseberrydale.process.sidecar.orders import OrderKeeper
-from gooseberrydale.version.fencing import Fence, Passage
+from gooseberrydale.version.fencing import Fence, OrderDecision
 from tests.builders_sidecar import (
     Request,
     TinyUpstream,
@@ -172,8 +172,8 @@
             fence.learn(number)
             highest = max(highest, number)
             continue
-        decision = fence.take(replace(ORDER, number=number))
-        if decision == Ok(Passage.GIVE):
+        decision = fence.decide(replace(ORDER, number=number))
+        if decision == Ok(OrderDecision.SEND):
             assert highest >= 0, "sent before the fencing number was known"
             assert number >= highest
             highest = number
--- a/tests/test_weights_rollout.py
+++ b/tests/test_weights_rollout.py
@@ -24,7 +24,11 @@
 from gooseberrydale.version.declarations import Config
 from gooseberrydale.version.directory import Directory
 from gooseberrydale.version.order_marks import mark_name
-from gooseberrydale.version.rollout import EngineWeights, at_once, due
+from gooseberrydale.version.rollout import (
+    EngineWeights,
+    concurrent_changes,
+    engines_to_change,
+)
 from tests.builders_gateway import record
 from tests.clock import run_paused
 
@@ -51,8 +55,8 @@
 @pytest.mark.parametrize("case", CASES)
 def test_which_engines_change_next(case: str) -> None:
     members, changing, silent, expected = CASES[case]
-    assert due(members, {"m": 4}, changing, silent) == expected
-    assert due(members, {"other": 9}, changing, silent) == []
+    assert engines_to_change(members, {"m": 4}, changing, silent) == expected
+    assert engines_to_change(members, {"other": 9}, changing, silent) == []
 
 
 CONCURRENCY_CASES = [
@@ -73,7 +77,7 @@
     case: tuple[int, int, float, int],
 ) -> None:
     count, behind, left_s, expected = case
-    assert at_once(count, behind, left_s) == expected
+    assert concurrent_changes(count, behind, left_s) == expected
 
 
 def test_with_a_quarter_dead_all_others_change_in_time() -> None:
@@ -83,7 +87,7 @@
     ends: dict[str, float] = {}
     max_changing = 0
     while any(member.version < 4 for member in members if member.name not in dead):
-        begun = due(members, {"m": 4}, ends, dead, {"m": 7.5 - now})
+        begun = engines_to_change(members, {"m": 4}, ends, dead, {"m": 7.5 - now})
         ends |= {name: now + 1.8 for name in begun}
         max_changing = max(max_changing, len(ends))
         now += 0.1
