--- a/gooseberrydale/process/control/operator_api.py
+++ b/gooseberrydale/process/control/operator_api.py
@@ -46,7 +46,7 @@
 from gooseberrydale.process.control import operator_views as views
 from gooseberrydale.process.control.group_commit import GroupCommit
 from gooseberrydale.process.control.operator_auth import OperatorTokens
-from gooseberrydale.request.fingerprint import shown
+from gooseberrydale.request.fingerprint import fingerprint_text
 from gooseberrydale.version.acknowledgements import Acknowledgements
 from gooseberrydale.version.change import join_faults
 from gooseberrydale.version.control_state import ControlState
@@ -341,7 +341,9 @@
     async def _release(self, operator: str, digest: str) -> Response:
         """Allow a quarantined request to run again, in all processes."""
         quarantined = self._ended_incarnations.quarantined()
-        matching = [request for request in quarantined if shown(request) == digest]
+        matching = [
+            request for request in quarantined if fingerprint_text(request) == digest
+        ]
         if not matching:
             what = "quarantined request"
             return problem_response(problem(UNKNOWN_NAME, what=what, name=digest))
--- a/gooseberrydale/process/control/operator_views.py
+++ b/gooseberrydale/process/control/operator_views.py
@@ -11,7 +11,7 @@
 
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.errors import Problem
-from gooseberrydale.request.fingerprint import shown
+from gooseberrydale.request.fingerprint import fingerprint_text
 from gooseberrydale.version.acknowledgements import RevisionStatus
 from gooseberrydale.version.declarations import Config, Profile, Workspace
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
@@ -61,7 +61,7 @@
     """Return the quarantined requests with the incarnations that ended running them."""
     return [
         {
-            "digest": shown(request),
+            "digest": fingerprint_text(request),
             "ended": list(ended_incarnations.blamed_for(request)),
         }
         for request in sorted(ended_incarnations.quarantined())
--- a/gooseberrydale/process/entry/call.py
+++ b/gooseberrydale/process/entry/call.py
@@ -28,7 +28,7 @@
 from gooseberrydale.process.error_body import error_object
 from gooseberrydale.process.instruments import Instruments
 from gooseberrydale.request.event_id import EventId
-from gooseberrydale.request.job import Answering, Events, Head, Part
+from gooseberrydale.request.job import AnswerSource, Events, Head, Part
 
 SSE_HEADERS = (
     (b"content-type", b"text/event-stream; charset=utf-8"),
@@ -68,7 +68,7 @@
 
     def __init__(
         self,
-        source: Answering,
+        source: AnswerSource,
         info: CallInfo,
         instruments: Instruments,
         req: Request,
--- a/gooseberrydale/process/entry/calls.py
+++ b/gooseberrydale/process/entry/calls.py
@@ -27,7 +27,7 @@
 from gooseberrydale.request.claim_gate import ClaimStore, OpenGate
 from gooseberrydale.request.deps import Deps
 from gooseberrydale.request.event_id import EventId, parse_event_id
-from gooseberrydale.request.job import Answering, Job
+from gooseberrydale.request.job import AnswerSource, Job
 from gooseberrydale.request.keyed import KeyedAnswer
 from gooseberrydale.request.prompt import prompt_pieces
 from gooseberrydale.request.runner import Runner
@@ -114,7 +114,7 @@
             headers=(("content-type", "application/json"),),
             stream=completion.stream,
             idempotency_key=_claim_key(req, profile),
-            single=completion.single,
+            single_text=completion.single_text,
             wants_usage=completion.wants_usage,
             pieces=prompt_pieces(req.url.path, completion.raw),
             max_new_tokens=completion.max_new_tokens,
@@ -178,13 +178,13 @@
         info = CallInfo(job.request_id, job.profile.name, may_resend)
         await self._serve(self._answer_source(job), info, req, send)
 
-    def _answer_source(self, job: Job) -> Answering:
+    def _answer_source(self, job: Job) -> AnswerSource:
         if job.idempotency_key:
             return KeyedAnswer(self._deps, job, self._claims)
         return Runner(self._deps, job, OpenGate())
 
     async def _serve(
-        self, source: Answering, info: CallInfo, req: Request, send: Send
+        self, source: AnswerSource, info: CallInfo, req: Request, send: Send
     ) -> None:
         call = Call(source, info, self._deps.instruments, req, send)
         self._open.add(call)
--- a/gooseberrydale/process/gateway/app.py
+++ b/gooseberrydale/process/gateway/app.py
@@ -35,8 +35,8 @@
 from gooseberrydale.process.quota_charge import QuotaCharge, refusal_of
 from gooseberrydale.process.quota_client import OverQuota, QuotaClient
 from gooseberrydale.request.draining import Drain, retry_after_drain_s
-from gooseberrydale.request.fingerprint import fingerprint, shown
-from gooseberrydale.request.gateway_call import CallerCall
+from gooseberrydale.request.fingerprint import fingerprint, fingerprint_text
+from gooseberrydale.request.gateway_call import CallerRequest
 from gooseberrydale.request.retry_after import (
     NOT_READY_AFTER_S,
     REMAINING_TIME_FRACTION,
@@ -138,7 +138,7 @@
         finally:
             self._log(call, answer, outcome)
 
-    async def _serve(self, call: CallerCall, answer: CallerAnswer) -> str:
+    async def _serve(self, call: CallerRequest, answer: CallerAnswer) -> str:
         table = await self._table(call)
         if table is None:
             why = problem(NOT_READY, retry_after_s=NOT_READY_AFTER_S)
@@ -198,7 +198,7 @@
         self._deps.metrics.over_quota(charge.workspace, charge.cost)
         await answer.refuse(why)
 
-    async def _table(self, call: CallerCall) -> RouteTable | None:
+    async def _table(self, call: CallerRequest) -> RouteTable | None:
         """Return the declarations, after a limited wait if none have arrived yet."""
         table = self._deps.declared.table
         if table is not None:
@@ -208,7 +208,7 @@
 
     def _route_request(
         self,
-        call: CallerCall,
+        call: CallerRequest,
         route: Route,
         table: RouteTable,
         holder: KeyHolder | None,
@@ -282,7 +282,7 @@
             if not message["more_body"]:
                 return b"".join(chunks)
 
-    def _log(self, call: CallerCall, answer: CallerAnswer, outcome: str) -> None:
+    def _log(self, call: CallerRequest, answer: CallerAnswer, outcome: str) -> None:
         forwarder, table = self._forwarder, self._deps.declared.table
         now = asyncio.get_running_loop().time()
         first_s = max(0.0, answer.started_at - self._arrived_at)
@@ -305,7 +305,7 @@
                 first_ms=self._since_ms(answer.started_at),
                 took_ms=self._since_ms(now),
                 table=0 if table is None else table.declared.number,
-                digest=shown(self._fingerprint),
+                digest=fingerprint_text(self._fingerprint),
             )
         )
 
@@ -315,7 +315,10 @@
 
 
 def _refusal(
-    table: RouteTable, call: CallerCall, route: Route | None, holder: KeyHolder | None
+    table: RouteTable,
+    call: CallerRequest,
+    route: Route | None,
+    holder: KeyHolder | None,
 ) -> Problem | None:
     """Return why the declarations refuse a request; None if they allow it."""
     if route is None:
--- a/gooseberrydale/process/gateway/forward.py
+++ b/gooseberrydale/process/gateway/forward.py
@@ -34,10 +34,10 @@
     GiveUp,
     PassOn,
     SendAgain,
-    Sends,
-    after_end,
+    SendHistory,
+    decide_next_step,
 )
-from gooseberrydale.request.fingerprint import shown
+from gooseberrydale.request.fingerprint import fingerprint_text
 from gooseberrydale.request.placement import Candidate
 from gooseberrydale.request.retry_after import after_no_capacity_s, without_upstream_s
 from gooseberrydale.request.retry_window import RetryWindow
@@ -108,7 +108,7 @@
 
     async def _refuse_quarantined(self) -> None:
         """Refuse a quarantined request, which is not sent to any upstream again."""
-        digest = shown(self._job.fingerprint)
+        digest = fingerprint_text(self._job.fingerprint)
         ended = self._upstreams.ended_incarnations.blamed_for(self._job.fingerprint)
         emit(RequestQuarantined(self._job.call.request_id, digest, list(ended)))
         ran = self._sender.runs > 0
@@ -193,8 +193,8 @@
             last = self._sender.last_event_id or ""
             emit(StreamMoved(self._job.call.request_id, self._placer.tried[-1], last))
             return True
-        step = after_end(
-            Sends(len(self._placer.tried), self._sender.runs, end),
+        step = decide_next_step(
+            SendHistory(len(self._placer.tried), self._sender.runs, end),
             repeatable=self._job.repeatable,
             max_runs=self._job.route.max_runs,
             left_s=self._job.left_s(),
@@ -213,7 +213,7 @@
                 left_ms=round(self._job.left_s() * MS_PER_S, 1),
                 runs=self._sender.runs,
                 retries=round(self._budget.left, 1),
-                digest=shown(self._job.fingerprint),
+                digest=fingerprint_text(self._job.fingerprint),
             )
         )
         if isinstance(step, SendAgain):
@@ -233,7 +233,8 @@
     def describe(self) -> list[str]:
         """Describe each choice and the values it was based on, for the log."""
         return [
-            f"{choice.name} rank={choice.preference_rank} requests={choice.load.requests:.1f}"
+            f"{choice.name} rank={choice.preference_rank}"
+            f" requests={choice.load.requests:.1f}"
             f" prefill={choice.load.prefill_tokens:.0f} kv={choice.load.kv_tokens:.0f}"
             f" errors={choice.error_rate:.2f} usable={choice.usable}"
             f" stored={choice.stored} old={choice.outdated_for_s:.1f}"
--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -44,7 +44,7 @@
 from gooseberrydale.process.quota_client import QuotaClient
 from gooseberrydale.request.connection_share import connection_share
 from gooseberrydale.request.draining import Drain
-from gooseberrydale.request.gateway_call import Wire
+from gooseberrydale.request.gateway_call import HeaderCodec
 from gooseberrydale.version.config_store import ConfigStore
 from gooseberrydale.version.declared import CallerLimits, Pool
 from gooseberrydale.version.directory import (
@@ -100,7 +100,7 @@
 class Dialect:
     """The formats of a deployment: its headers, documents and store calls."""
 
-    wire: Wire
+    wire: HeaderCodec
     decode_document: DecodeDocument
     store_feed: StoreFeed
 
--- a/gooseberrydale/process/gateway/prober.py
+++ b/gooseberrydale/process/gateway/prober.py
@@ -57,14 +57,14 @@
     def _probe_all(self, records: Iterable[UpstreamRecord]) -> None:
         for record in records:
             if record.name not in self._probes:
-                task = asyncio.create_task(self._ask(record))
+                task = asyncio.create_task(self._probe(record))
                 self._probes[record.name] = task
                 task.add_done_callback(partial(self._forget, record.name))
 
     def _forget(self, name: str, _: asyncio.Task[None]) -> None:
         self._probes.pop(name, None)
 
-    async def _ask(self, record: UpstreamRecord) -> None:
+    async def _probe(self, record: UpstreamRecord) -> None:
         """Probe one upstream and record whether it accepted the connection."""
         loop = asyncio.get_running_loop()
         load = self._upstreams.load_of(record.name)
--- a/gooseberrydale/process/gateway/routed_request.py
+++ b/gooseberrydale/process/gateway/routed_request.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from gooseberrydale.process.quota_client import Want
-from gooseberrydale.request.gateway_call import CallerCall
+from gooseberrydale.request.gateway_call import CallerRequest
 from gooseberrydale.request.retry_after import REMAINING_TIME_FRACTION
 from gooseberrydale.version.declared import KeyHolder, Pool, Route
 
@@ -19,7 +19,7 @@
     deadline; ``fingerprint`` is the same for each repeat of the request.
     """
 
-    call: CallerCall
+    call: CallerRequest
     route: Route
     pool: Pool
     body: bytes
--- a/gooseberrydale/process/gateway/send.py
+++ b/gooseberrydale/process/gateway/send.py
@@ -25,10 +25,10 @@
 from gooseberrydale.request.attempt_end import End
 from gooseberrydale.request.gateway_call import (
     AnswerHead,
-    CallerCall,
+    CallerRequest,
+    HeaderCodec,
     RawHeaders,
     Terms,
-    Wire,
 )
 from gooseberrydale.version.declared import Pool
 from gooseberrydale.version.open_runs import Run, RunEnd
@@ -68,7 +68,7 @@
     ``connections`` returns how many connections to one upstream of a pool may be open.
     """
 
-    wire: Wire
+    wire: HeaderCodec
     upstreams: Upstreams
     conns: HttpPool
     stats: ObservedStats
@@ -320,7 +320,7 @@
             self.last_event_id = event.event_id or self.last_event_id
 
 
-def _request_head(call: CallerCall, headers: RawHeaders, size: int) -> bytes:
+def _request_head(call: CallerRequest, headers: RawHeaders, size: int) -> bytes:
     lines = [f"{call.method} {call.target} HTTP/1.1".encode("latin-1")]
     lines += [
         name + b": " + value
--- a/gooseberrydale/process/gateway/upstreams.py
+++ b/gooseberrydale/process/gateway/upstreams.py
@@ -19,7 +19,7 @@
     UpstreamLimited,
     emit,
 )
-from gooseberrydale.request.fingerprint import shown
+from gooseberrydale.request.fingerprint import fingerprint_text
 from gooseberrydale.request.gateway_call import Prompt
 from gooseberrydale.request.members import Members
 from gooseberrydale.request.placement import Candidate, Demand, rank_preferred
@@ -137,8 +137,8 @@
                 incarnation_name(name, load.incarnation), lost, now
             )
         if lost or not was_over:
-            waiting = [shown(run) for run in lost.waiting]
-            answering = [shown(run) for run in lost.answering]
+            waiting = [fingerprint_text(run) for run in lost.waiting]
+            answering = [fingerprint_text(run) for run in lost.answering]
             emit(UpstreamEnded(name, reason, waiting, answering))
 
     def run_ended(
@@ -358,8 +358,8 @@
         if prompt is None or not prompt.shared:
             return {}
         key = f"{query.scope}|{prompt.shared[-1].key}".encode()
-        homes = self._pools[query.pool.name].members.homes(key)
-        return {name: rank for rank, name in enumerate(homes)}
+        preferred = self._pools[query.pool.name].members.preferred(key)
+        return {name: rank for rank, name in enumerate(preferred)}
 
     def _candidate(
         self,
--- a/gooseberrydale/process/sidecar/upstream_runs.py
+++ b/gooseberrydale/process/sidecar/upstream_runs.py
@@ -14,7 +14,7 @@
 
 from gooseberrydale.connection.messages import DispatchReq
 from gooseberrydale.log_events import UpstreamEnded, emit
-from gooseberrydale.request.fingerprint import fingerprint, shown
+from gooseberrydale.request.fingerprint import fingerprint, fingerprint_text
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 from gooseberrydale.version.open_runs import OpenRuns, Run, RunEnd
 
@@ -103,8 +103,8 @@
         lost = incarnation.runs.mark_ended(_now())
         if not self._is_leaving():
             self._ended_incarnations.report(incarnation.name, lost, _now())
-        waiting = [shown(request) for request in lost.waiting]
-        answering = [shown(request) for request in lost.answering]
+        waiting = [fingerprint_text(request) for request in lost.waiting]
+        answering = [fingerprint_text(request) for request in lost.answering]
         emit(UpstreamEnded(incarnation.name, reason, waiting, answering))
 
 
--- a/gooseberrydale/request/admission.py
+++ b/gooseberrydale/request/admission.py
@@ -15,7 +15,7 @@
 from gooseberrydale import errors
 from gooseberrydale.connection.messages import Load
 from gooseberrydale.errors import InvariantError, Problem, problem
-from gooseberrydale.request.fair_queue import FairQueue, Waiting, Work
+from gooseberrydale.request.fair_queue import FairQueue, QueuedWork, Work
 from gooseberrydale.request.start_limiter import StartLimiter
 
 __all__ = ["Admission", "Admitted", "Queued", "Work"]
@@ -63,7 +63,7 @@
         self._running: dict[str, _Running] = {}
         self._prefilled_at = 0.0
         self._queue = FairQueue()
-        self._overdue: list[Waiting] = []
+        self._overdue: list[QueuedWork] = []
         self._started: OrderedDict[str, None] = OrderedDict()
         self._start_limiter = StartLimiter()
 
@@ -178,7 +178,7 @@
     def _enqueue(self, work: Work, wait_s: float, now: float) -> Queued | Problem:
         displaced: tuple[tuple[str, Problem], ...] = ()
         if len(self._queue) >= self._max_queued:
-            lowest = self._queue.worse_than(work)
+            lowest = self._queue.last_behind(work)
             if lowest is None:
                 return self._full(now)
             self._queue.remove(lowest.work.id)
@@ -248,11 +248,11 @@
             return max(prefill_s, start_s)
         return max(prefill_s, start_s, (count + 1) * self._slot_wait_s())
 
-    def _latest_start(self, waiting: Waiting) -> float:
+    def _latest_start(self, waiting: QueuedWork) -> float:
         deadline = waiting.offered_at + waiting.work.deadline_s
         return deadline - self._prefill_s(waiting.work)
 
-    def _is_late(self, waiting: Waiting, now: float) -> bool:
+    def _is_late(self, waiting: QueuedWork, now: float) -> bool:
         return now > self._latest_start(waiting)
 
     def _retry_after_s(self, now: float) -> float:
--- a/gooseberrydale/request/attempt_end.py
+++ b/gooseberrydale/request/attempt_end.py
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sends:
+class SendHistory:
     """The sends of a request so far.
 
     ``sends`` counts all of them, ``runs`` those that may have run; ``end`` is how the
@@ -87,8 +87,8 @@
 Step = SendAgain | PassOn | GiveUp
 
 
-def after_end(
-    sends: Sends,
+def decide_next_step(
+    sends: SendHistory,
     *,
     repeatable: bool,
     max_runs: int,
@@ -114,11 +114,11 @@
     return GiveUp(_final_problem(sends, pool, left_s))
 
 
-def _timeout_problem(sends: Sends) -> Problem:
+def _timeout_problem(sends: SendHistory) -> Problem:
     return problem(errors.WAITED_TOO_LONG, not_run=None if sends.runs else True)
 
 
-def _final_problem(sends: Sends, pool: str, left_s: float) -> Problem:
+def _final_problem(sends: SendHistory, pool: str, left_s: float) -> Problem:
     if not sends.runs:
         after_s = after_refusal_s(left_s)
         return problem(errors.UPSTREAMS_REFUSE, pool=pool, retry_after_s=after_s)
--- a/gooseberrydale/request/baselines.py
+++ b/gooseberrydale/request/baselines.py
@@ -169,7 +169,7 @@
             req.workspace, req.profile.model, req.pieces[:1]
         )
         for prefix in prefixes:
-            for name in members.homes(prefix.key):
+            for name in members.preferred(prefix.key):
                 if name not in req.excluded:
                     return name
         return self._rng.choice(allowed)
--- a/gooseberrydale/request/body.py
+++ b/gooseberrydale/request/body.py
@@ -71,7 +71,7 @@
         return max(0, int(max_tokens or 0))
 
     @property
-    def single(self) -> bool:
+    def single_text(self) -> bool:
         """Whether the answer consists of a single text."""
         prompt = self.raw.get("prompt")
         is_batch = isinstance(prompt, list) and not isinstance(prompt[0], int)
--- a/gooseberrydale/request/candidates.py
+++ b/gooseberrydale/request/candidates.py
@@ -111,7 +111,7 @@
         if not picked:
             return
         base, *deeper = picked
-        names = [n for n in members.homes(base.key) if n not in excluded]
+        names = [n for n in members.preferred(base.key) if n not in excluded]
         if not names:
             return
         in_use = max(
@@ -126,7 +126,7 @@
                 candidates, Candidate(members.by_name[name], base.tokens * probability)
             )
         for prefix in deeper:
-            name = members.first_among(names[:in_use], prefix.key)
+            name = members.highest_ranked(names[:in_use], prefix.key)
             tokens = prefix.tokens * PREFERRED_CACHED_PROBABILITY
             _add_better(candidates, Candidate(members.by_name[name], tokens))
 
--- a/gooseberrydale/request/fair_queue.py
+++ b/gooseberrydale/request/fair_queue.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass, field
 
-PRUNE_WORKSPACES = 1_024
+PRUNE_THRESHOLD_WORKSPACES = 1_024
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class QueuedWork:
     """Queued work; the work with the lowest ``rank`` starts first."""
 
     work: Work
@@ -52,7 +52,7 @@
         return max(self.virtual, self.finish.get(workspace, 0.0))
 
     def prune(self) -> None:
-        if len(self.finish) > PRUNE_WORKSPACES:
+        if len(self.finish) > PRUNE_THRESHOLD_WORKSPACES:
             self.finish = {w: t for w, t in self.finish.items() if t > self.virtual}
 
 
@@ -60,7 +60,7 @@
     """The waiting work of one upstream.  The caller limits its length."""
 
     def __init__(self) -> None:
-        self._items: dict[str, Waiting] = {}
+        self._items: dict[str, QueuedWork] = {}
         self._tags: dict[int, _Tags] = {}
         self._seq = 0
 
@@ -70,7 +70,7 @@
     def __contains__(self, work_id: str) -> bool:
         return work_id in self._items
 
-    def items(self) -> list[Waiting]:
+    def items(self) -> list[QueuedWork]:
         """Return all waiting work in no particular order."""
         return list(self._items.values())
 
@@ -85,9 +85,9 @@
         tags.finish[work.workspace] = start + _cost(work)
         self._seq += 1
         rank = (-work.priority, start, self._seq)
-        self._items[work.id] = Waiting(work, now, rank)
+        self._items[work.id] = QueuedWork(work, now, rank)
 
-    def pop(self) -> Waiting | None:
+    def pop(self) -> QueuedWork | None:
         """Remove and return the work with the lowest rank; None if there is none."""
         if not self._items:
             return None
@@ -98,7 +98,7 @@
         tags.prune()
         return first
 
-    def remove(self, work_id: str) -> Waiting | None:
+    def remove(self, work_id: str) -> QueuedWork | None:
         """Remove and return the given work, and refund its cost to its workspace."""
         removed = self._items.pop(work_id, None)
         if removed is not None:
@@ -111,7 +111,7 @@
         ahead = [w.work.tokens for w in self._items.values() if w.rank < rank]
         return sum(ahead), len(ahead)
 
-    def worse_than(self, work: Work) -> Waiting | None:
+    def last_behind(self, work: Work) -> QueuedWork | None:
         """Return the work that starts last; None if ``work`` would start after it."""
         if not self._items:
             return None
@@ -125,7 +125,7 @@
     def _tags_of(self, work: Work) -> _Tags:
         return self._tags.setdefault(work.priority, _Tags())
 
-    def _refund(self, removed: Waiting) -> None:
+    def _refund(self, removed: QueuedWork) -> None:
         tags = self._tags_of(removed.work)
         workspace = removed.work.workspace
         if workspace in tags.finish:
@@ -136,5 +136,5 @@
     return max(1, work.tokens) / work.share
 
 
-def _rank(waiting: Waiting) -> tuple[int, float, int]:
+def _rank(waiting: QueuedWork) -> tuple[int, float, int]:
     return waiting.rank
--- a/gooseberrydale/request/fingerprint.py
+++ b/gooseberrydale/request/fingerprint.py
@@ -22,7 +22,7 @@
         """Add bytes to the hash."""
 
 
-def feed(into_hash: Hash, *parts: bytes) -> None:
+def hash_framed(into_hash: Hash, *parts: bytes) -> None:
     """Add ``parts`` to the hash, each with its length.
 
     Without the lengths, another split of the same bytes would have the same hash.
@@ -38,11 +38,13 @@
     """Hash a request; ``workspace`` is empty if the caller needs none."""
     digest = hashlib.blake2b(digest_size=SIZE_BYTES)
     texts = (workspace, method, host, target)
-    feed(digest, *(text.encode("utf-8", "surrogateescape") for text in texts), body)
+    hash_framed(
+        digest, *(text.encode("utf-8", "surrogateescape") for text in texts), body
+    )
     return digest.digest()
 
 
-def shown(request: bytes) -> str:
+def fingerprint_text(request: bytes) -> str:
     """Format a fingerprint for log lines, messages and commands.
 
     The prefix keeps command lines from parsing it as a number.
--- a/gooseberrydale/request/gateway_call.py
+++ b/gooseberrydale/request/gateway_call.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerCall:
+class CallerRequest:
     """A caller's request, as read from its request line and headers.
 
     ``headers`` are forwarded to the upstream unchanged.  ``wait_s`` is how long the
@@ -136,15 +136,15 @@
         return 200 <= self.status < 300
 
 
-class Wire(Protocol):
+class HeaderCodec(Protocol):
     """Translates between the headers of a deployment and the types of this module."""
 
     def read_call(
         self, method: str, target: bytes, headers: RawHeaders
-    ) -> Result[CallerCall, Problem]:
+    ) -> Result[CallerRequest, Problem]:
         """Read a caller's request; returns an error if its head is invalid."""
 
-    def request_headers(self, call: CallerCall, terms: Terms) -> RawHeaders:
+    def request_headers(self, call: CallerRequest, terms: Terms) -> RawHeaders:
         """Return all headers of one send, except those of the message framing."""
 
     def read_answer(self, status: int, headers: RawHeaders) -> AnswerHead:
--- a/gooseberrydale/request/job.py
+++ b/gooseberrydale/request/job.py
@@ -17,7 +17,7 @@
 class Job:
     """An authenticated and validated request.
 
-    ``single`` says that the answer is a single text, which another upstream can
+    ``single_text`` says that the answer is a single text, which another upstream can
     continue.  ``max_new_tokens`` limits the answer; 0 means that the caller set no
     limit.  ``wants_usage`` asks for a usage event after the last event of the text.
     """
@@ -30,7 +30,7 @@
     body: bytes
     headers: tuple[tuple[str, str], ...] = ()
     stream: bool = False
-    single: bool = True
+    single_text: bool = True
     wants_usage: bool = False
     pieces: tuple[Piece, ...] = ()
     max_new_tokens: int = 0
@@ -84,7 +84,7 @@
         super().__init__(problem(STREAM_TAKEN_OVER, not_run=False))
 
 
-class Answering(Protocol):
+class AnswerSource(Protocol):
     """Produces the parts of an answer."""
 
     def answer(self) -> AsyncGenerator[Part, None]:
--- a/gooseberrydale/request/keyed.py
+++ b/gooseberrydale/request/keyed.py
@@ -34,9 +34,9 @@
 from gooseberrydale.request.cancel import confirm_not_run
 from gooseberrydale.request.claim_gate import ClaimGate, ClaimHeld, ClaimStore
 from gooseberrydale.request.deps import Deps
-from gooseberrydale.request.fingerprint import feed
+from gooseberrydale.request.fingerprint import hash_framed
 from gooseberrydale.request.job import (
-    Answering,
+    AnswerSource,
     Events,
     Head,
     Job,
@@ -181,7 +181,7 @@
         self._gate.holder = holder
         await self._relay(attached)
 
-    async def _relay(self, source: Answering) -> None:
+    async def _relay(self, source: AnswerSource) -> None:
         """Relay the answer, and record it once it is complete.
 
         The body of an unstreamed answer is relayed only after it is recorded.
@@ -246,6 +246,6 @@
     """Return a digest of the call; all calls under one key must have the same."""
     digest = hashlib.sha256()
     texts = (job.profile.name, job.method, job.path)
-    feed(digest, *(text.encode() for text in texts))
+    hash_framed(digest, *(text.encode() for text in texts))
     digest.update(job.body)
     return digest.digest()
--- a/gooseberrydale/request/members.py
+++ b/gooseberrydale/request/members.py
@@ -17,8 +17,8 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.version.declarations import Profile
 
-RANKED_HOMES = 64
-KEPT_PREFIXES = 4_096
+MAX_PREFERRED = 64
+MAX_CACHED_PREFIXES = 4_096
 FLOOR_FACTOR = 2.5
 """How many names are expected above the weight floor, per name wanted; greater than 1,
 so that there are rarely too few."""
@@ -73,13 +73,13 @@
             self._digests = {name: _digest(name.encode()) for name in self.names}
             self._preferred.clear()
 
-    def first_among(self, names: Sequence[str], prefix: bytes) -> str:
+    def highest_ranked(self, names: Sequence[str], prefix: bytes) -> str:
         """Return the name with the highest rendezvous weight for ``prefix``."""
         key = _digest(prefix)
         digests = self._digests
         return max(names, key=lambda name: ((digests[name] ^ key) * _MIX) & _MASK)
 
-    def homes(self, prefix: bytes) -> tuple[str, ...]:
+    def preferred(self, prefix: bytes) -> tuple[str, ...]:
         """Return the names with the highest rendezvous weights, highest first."""
         names = self._preferred.get(prefix)
         if names is not None:
@@ -87,16 +87,16 @@
             return names
         names = self._rank(prefix)
         self._preferred[prefix] = names
-        if len(self._preferred) > KEPT_PREFIXES:
+        if len(self._preferred) > MAX_CACHED_PREFIXES:
             self._preferred.popitem(last=False)
         return names
 
     def _rank(self, prefix: bytes) -> tuple[str, ...]:
         # Weights are uniform, so only few members are above this floor, which saves
         # sorting the others.  If there are too few, all members are ranked.
-        top_fraction = FLOOR_FACTOR * RANKED_HOMES / max(1, len(self._digests))
+        top_fraction = FLOOR_FACTOR * MAX_PREFERRED / max(1, len(self._digests))
         ranked = self._rank_above(prefix, int(_MASK * max(0.0, 1.0 - top_fraction)))
-        if len(ranked) < min(RANKED_HOMES, len(self._digests)):
+        if len(ranked) < min(MAX_PREFERRED, len(self._digests)):
             ranked = self._rank_above(prefix, 0)
         return ranked
 
@@ -108,7 +108,7 @@
             if (weight := ((digest ^ key) * _MIX) & _MASK) >= floor
         ]
         ranked.sort(reverse=True)
-        return tuple(name for _, name in ranked[:RANKED_HOMES])
+        return tuple(name for _, name in ranked[:MAX_PREFERRED])
 
     def _eligible(self, record: UpstreamRecord) -> bool:
         if not record.ready or record.leaving or record.pool != self._pool:
--- a/gooseberrydale/request/runner.py
+++ b/gooseberrydale/request/runner.py
@@ -39,7 +39,7 @@
 from gooseberrydale.request.claim_gate import AttemptGate
 from gooseberrydale.request.deps import Deps
 from gooseberrydale.request.exchange import DeadlinePassed, Exchange, ExchangeLost
-from gooseberrydale.request.fingerprint import shown
+from gooseberrydale.request.fingerprint import fingerprint_text
 from gooseberrydale.request.job import Job, Part, ReaderReplaced
 from gooseberrydale.request.parts import PartBuilder
 from gooseberrydale.request.reassembly import (
@@ -242,13 +242,22 @@
         if not ended_incarnations.is_quarantined(request):
             return
         ended = ended_incarnations.blamed_for(request)
-        emit(RequestQuarantined(self._job.request_id, shown(request), list(ended)))
+        emit(
+            RequestQuarantined(
+                self._job.request_id, fingerprint_text(request), list(ended)
+            )
+        )
         not_run = None if self._may_have_run else True
         if self._parts.delivered:
             not_run = False
         kind = ENDS_UPSTREAMS if not_run else ENDED_UPSTREAMS
         raise ProblemError(
-            problem(kind, not_run=not_run, count=len(ended), digest=shown(request))
+            problem(
+                kind,
+                not_run=not_run,
+                count=len(ended),
+                digest=fingerprint_text(request),
+            )
         )
 
     def _newest_record(self, record: UpstreamRecord) -> UpstreamRecord:
@@ -306,7 +315,7 @@
     def _can_resume(self) -> bool:
         if not self._parts.delivered:
             return True
-        if not self._job.single or not self._parts.resumable:
+        if not self._job.single_text or not self._parts.resumable:
             return False
         return self._reassembly.emitted_text() is not None
 
@@ -347,7 +356,7 @@
 
         If only the end marker is missing, the answer counts as complete instead.
         """
-        only_text_wanted = self._job.single and not self._job.wants_usage
+        only_text_wanted = self._job.single_text and not self._job.wants_usage
         if self._parts.text_finished and only_text_wanted:
             self._complete = True
             return
--- a/tests/builders_gateway.py
+++ b/tests/builders_gateway.py
@@ -19,7 +19,7 @@
 from gooseberrydale.process.gateway.store_follower import FollowReply
 from gooseberrydale.request.gateway_call import (
     AnswerHead,
-    CallerCall,
+    CallerRequest,
     Prompt,
     PromptPart,
     RawHeaders,
@@ -96,12 +96,12 @@
 
     def read_call(
         self, method: str, target: bytes, headers: RawHeaders
-    ) -> Result[CallerCall, Problem]:
+    ) -> Result[CallerRequest, Problem]:
         values = dict(headers)
         wait = values.get(b"wait")
         last = values.get(b"last-event-id")
         return Ok(
-            CallerCall(
+            CallerRequest(
                 request_id=values[b"id"].decode(),
                 method=method,
                 target=target.decode(),
@@ -113,7 +113,7 @@
             )
         )
 
-    def request_headers(self, call: CallerCall, terms: Terms) -> RawHeaders:
+    def request_headers(self, call: CallerRequest, terms: Terms) -> RawHeaders:
         own = [(b"instance", terms.instance.encode())]
         if terms.last_event_id is not None:
             own.append((b"last-event-id", terms.last_event_id.encode()))
--- a/tests/builders_memory_roles.py
+++ b/tests/builders_memory_roles.py
@@ -36,7 +36,7 @@
 from gooseberrydale.request.config_sync import ConfigSync
 from gooseberrydale.request.deps import Deps
 from gooseberrydale.request.gate import MAX_DISPATCH_AGE_S
-from gooseberrydale.request.job import Answering, Job
+from gooseberrydale.request.job import AnswerSource, Job
 from gooseberrydale.request.keyed import KeyedAnswer
 from gooseberrydale.request.retry import RetryBudget
 from gooseberrydale.request.runner import Runner
@@ -258,7 +258,7 @@
     def _dial(self, address: str) -> Channel:
         return Channel(self._net, self.incarnation_name, address)
 
-    def answering(self, job: Job) -> Answering:
+    def answering(self, job: Job) -> AnswerSource:
         """Return the answer for ``job``, chosen as the entry does."""
         if job.idempotency_key:
             return KeyedAnswer(self.deps, job, self._claims)
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,7 +10,7 @@
 from gooseberrydale import errors
 from gooseberrydale.errors import Problem
 from gooseberrydale.request.admission import Admission, Admitted, Queued, Work
-from gooseberrydale.request.fair_queue import PRUNE_WORKSPACES, FairQueue
+from gooseberrydale.request.fair_queue import PRUNE_THRESHOLD_WORKSPACES, FairQueue
 from tests.builders_request import work
 
 TPS = 1_000.0
@@ -128,12 +128,12 @@
 
 def test_fair_queue_drops_idle_workspaces() -> None:
     queue = FairQueue()
-    for number in range(3 * PRUNE_WORKSPACES):
+    for number in range(3 * PRUNE_THRESHOLD_WORKSPACES):
         queue.push(work(f"a{number}", workspace=f"w{number}"), 0.0)
         queue.push(work(f"b{number}", workspace="busy"), 0.0)
         while queue.pop():
             pass
-    assert len(queue._tags[0].finish) <= PRUNE_WORKSPACES + 1
+    assert len(queue._tags[0].finish) <= PRUNE_THRESHOLD_WORKSPACES + 1
 
 
 def test_full_queue_displaces_work_for_the_fair_share_of_others() -> None:
--- a/tests/test_attempt_end.py
+++ b/tests/test_attempt_end.py
@@ -10,9 +10,9 @@
     GiveUp,
     PassOn,
     SendAgain,
-    Sends,
+    SendHistory,
     Step,
-    after_end,
+    decide_next_step,
 )
 from gooseberrydale.request.retry import RetryBudget
 from gooseberrydale.request.retry_window import RetryWindow
@@ -47,8 +47,8 @@
         "budget": RetryBudget(),
         "now": 0.0,
     }
-    return after_end(
-        Sends(sends, runs, end),
+    return decide_next_step(
+        SendHistory(sends, runs, end),
         **{**kwargs, **changed},  # type: ignore
     )
 
--- a/tests/test_ended_upstreams.py
+++ b/tests/test_ended_upstreams.py
@@ -18,7 +18,7 @@
 import pytest
 
 from gooseberrydale.process.gateway.gateway import Gateway
-from gooseberrydale.request.fingerprint import fingerprint, shown
+from gooseberrydale.request.fingerprint import fingerprint, fingerprint_text
 from gooseberrydale.version.ended_incarnations import QUARANTINE_AFTER
 from tests.builders_ending import (
     EXCHANGE_S,
@@ -88,7 +88,9 @@
             assert got.status == 503 and "retry-after" not in got.headers
             error = json_body(got)["error"]
             assert (error["code"], error["not_run"]) == ("ends_upstreams", True)
-            digest = shown(fingerprint("a", "POST", HOST, "/calls/1", HARMFUL))
+            digest = fingerprint_text(
+                fingerprint("a", "POST", HOST, "/calls/1", HARMFUL)
+            )
             assert digest in error["message"] and "3 upstreams" in error["message"]
             assert len(fleet.pool.harmful_at) == 3
 
--- a/tests/test_open_runs.py
+++ b/tests/test_open_runs.py
@@ -10,7 +10,7 @@
 
 from gooseberrydale import log_events
 from gooseberrydale.process.gateway import upstreams as upstreams_module
-from gooseberrydale.request.fingerprint import fingerprint, shown
+from gooseberrydale.request.fingerprint import fingerprint, fingerprint_text
 from gooseberrydale.version.open_runs import (
     END_DETECTION_S,
     MAX_BROKEN_RUNS,
@@ -117,8 +117,8 @@
 
     run(main())
     ended = [line for line in lines if isinstance(line, log_events.UpstreamEnded)]
-    harmful = shown(fingerprint("a", "POST", HOST, calls, HARMFUL))
-    slow = shown(fingerprint("a", "POST", HOST, streams, SLOW))
+    harmful = fingerprint_text(fingerprint("a", "POST", HOST, calls, HARMFUL))
+    slow = fingerprint_text(fingerprint("a", "POST", HOST, streams, SLOW))
     assert {line.upstream for line in ended} == {"u1"}
     assert [name for line in ended for name in line.waiting] == [harmful]
     answering = [name for line in ended for name in line.answering]
--- a/tests/test_placing.py
+++ b/tests/test_placing.py
@@ -19,7 +19,7 @@
 )
 from gooseberrydale.process.gateway.routed_request import RoutedRequest
 from gooseberrydale.process.gateway.upstreams import UpstreamQuery
-from gooseberrydale.request.gateway_call import CallerCall, Prompt
+from gooseberrydale.request.gateway_call import CallerRequest, Prompt
 from gooseberrydale.request.hold_policy import LATE_HOLD_S, POLL_INTERVAL_S
 from gooseberrydale.request.placement import Candidate
 from gooseberrydale.request.retry_after import NO_CAPACITY_AFTER_S, after_no_capacity_s
@@ -72,7 +72,7 @@
 def job(
     body: Prompt, *, now: float, left_s: float = TIMEOUT_S, last: str | None = None
 ) -> RoutedRequest:
-    call = CallerCall(
+    call = CallerRequest(
         "r", "POST", "/x", "h", (), wait_s=left_s, prompt=body, last_event_id=last
     )
     declared = replace(route(), objective_s=OBJECTIVE_S, timeout_s=TIMEOUT_S)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -31,7 +31,7 @@
     REPORT_DECAY_S,
     Estimates,
 )
-from gooseberrydale.request.members import RANKED_HOMES, Members
+from gooseberrydale.request.members import MAX_PREFERRED, Members
 from gooseberrydale.request.prefix_rates import PrefixRates, preferred_needed
 from gooseberrydale.request.routing import Choice, Policy, Router, RouteReq
 from scripts.routing_model import Run, Size, draw
@@ -72,7 +72,7 @@
     members.refresh(pool)
     req = route((guide, 20_000))
     [prefix] = Scopes().prefixes(req.workspace, MODEL, req.pieces)
-    return members.homes(prefix.key)
+    return members.preferred(prefix.key)
 
 
 def test_new_routers_agree_on_the_preferred_upstream_of_a_guide() -> None:
@@ -361,7 +361,7 @@
     pool = pool_of(200)
     members.refresh(pool)
     [prefix] = Scopes().prefixes("w1", MODEL, route(GUIDE).pieces)
-    preferred = members.homes(prefix.key)
+    preferred = members.preferred(prefix.key)
     for upstream in sorted(pool, key=lambda r: r.name not in preferred):
         load = replace(BUSY, queue_s=9.0 if upstream.name in preferred else 0.0)
         estimates.get(upstream).report(load, 0.0)
@@ -625,8 +625,8 @@
             rebuilt.refresh(snapshot)
             assert updated.by_name == rebuilt.by_name
             assert updated.names == rebuilt.names
-            assert updated.homes(key) == rebuilt.homes(key)
-            assert len(updated.homes(key)) == min(RANKED_HOMES, len(updated.names))
+            assert updated.preferred(key) == rebuilt.preferred(key)
+            assert len(updated.preferred(key)) == min(MAX_PREFERRED, len(updated.names))
 
 
 @pytest.mark.parametrize("factor", [0.1, 0.5, 1.0, 2.5])
@@ -638,4 +638,4 @@
     monkeypatch.setattr("gooseberrydale.request.members.FLOOR_FACTOR", factor)
     for number in range(50):
         key = b"%08d" % number
-        assert updated.homes(key) == updated._rank_above(key, 0)
+        assert updated.preferred(key) == updated._rank_above(key, 0)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -247,7 +247,7 @@
         probed.silence.probe_failed(0.0)
         incarnations = IncarnationRecorder()
         upstreams = cast(Upstreams, incarnations)
-        await prober.Prober(upstreams, lambda: None)._ask(record("u1"))
+        await prober.Prober(upstreams, lambda: None)._probe(record("u1"))
         assert (probed.failures, later.failures) == (1, 0)
         assert incarnations.over == [probed]
 
