--- a/gooseberrydale/connection/alarm.py
+++ b/gooseberrydale/connection/alarm.py
@@ -14,7 +14,7 @@
         self._wake_at = math.inf
         self._timer: asyncio.TimerHandle | None = None
 
-    def by(self, at: float) -> None:
+    def wake_by(self, at: float) -> None:
         """Wake the task no later than ``at`` (loop clock, seconds)."""
         if at >= self._wake_at:
             return
--- a/gooseberrydale/connection/channels.py
+++ b/gooseberrydale/connection/channels.py
@@ -41,7 +41,7 @@
         self._users: Counter[RpcChannel] = Counter()
         self._closing: set[asyncio.Task[None]] = set()
 
-    def take(self, endpoint: Endpoint) -> RpcChannel:
+    def acquire(self, endpoint: Endpoint) -> RpcChannel:
         """Return the channel to this incarnation of a sidecar; open it on first use."""
         key = _key(endpoint)
         if key not in self._channels:
@@ -50,7 +50,7 @@
         self._users[channel] += 1
         return channel
 
-    def give_back(self, channel: RpcChannel) -> None:
+    def release(self, channel: RpcChannel) -> None:
         """Release an acquired channel."""
         self._users[channel] -= 1
         if self._users[channel] <= 0:
@@ -64,19 +64,19 @@
         """
         if self._channels.get(_key(endpoint)) is silent:
             del self._channels[_key(endpoint)]
-        self.give_back(silent)
-        return self.take(endpoint)
+        self.release(silent)
+        return self.acquire(endpoint)
 
     @contextlib.contextmanager
     def using(self, endpoint: Endpoint) -> Iterator[RpcChannel]:
         """Acquire a channel for the duration of a ``with`` block."""
-        channel = self.take(endpoint)
+        channel = self.acquire(endpoint)
         try:
             yield channel
         finally:
-            self.give_back(channel)
+            self.release(channel)
 
-    def keep(self, endpoints: Iterable[Endpoint]) -> None:
+    def retain(self, endpoints: Iterable[Endpoint]) -> None:
         """Keep the channels to ``endpoints`` and close all others once unused."""
         for key in set(self._channels) - {_key(endpoint) for endpoint in endpoints}:
             self._close_if_unused(self._channels.pop(key))
--- a/gooseberrydale/connection/gateway_datagrams.py
+++ b/gooseberrydale/connection/gateway_datagrams.py
@@ -71,7 +71,7 @@
         """Send a registered message once to each peer, without a retry."""
         self._send(encode(msg), peers)
 
-    def spread(self, msg: object, relay_index: int = 0) -> None:
+    def broadcast(self, msg: object, relay_index: int = 0) -> None:
         """Send a registered message to all gateways once, by relays if there are many.
 
         With ``relay_index`` 0 the first relay of each other zone forwards the message,
--- a/gooseberrydale/connection/http_call.py
+++ b/gooseberrydale/connection/http_call.py
@@ -13,7 +13,7 @@
 MAX_REPLY_BYTES = 64 * 1024 * 1024
 
 
-async def kept_call(
+async def pooled_call(
     pool: HttpPool,
     address: str,
     method: str,
@@ -42,7 +42,7 @@
 
 
 async def _call(pool: HttpPool, address: str, head: bytes, body: bytes) -> Reply:
-    conn = await pool.take(address, address, sure=False)
+    conn = await pool.acquire(address, address, must_not_resend=False)
     complete = False
     try:
         conn.send(head, body)
@@ -58,7 +58,7 @@
         return Reply(response.status, b"".join(chunks))
     finally:
         if complete:
-            pool.give_back(address, address, conn)
+            pool.release(address, address, conn)
         else:
-            pool.drop(address, address)
+            pool.discard(address, address)
             conn.abort()
--- a/gooseberrydale/connection/http_pool.py
+++ b/gooseberrydale/connection/http_pool.py
@@ -25,11 +25,11 @@
 Key = tuple[str, str]
 
 
-class ConnectionsTakenError(UpstreamError):
+class PoolExhaustedError(UpstreamError):
     """All allowed connections are in use; the upstream itself may be healthy."""
 
-    def __init__(self, bound: int) -> None:
-        super().__init__(f"all {bound} allowed connections are in use", sent=False)
+    def __init__(self, max_conns: int) -> None:
+        super().__init__(f"all {max_conns} allowed connections are in use", sent=False)
 
 
 class HttpPool:
@@ -39,28 +39,33 @@
         self._idle: dict[Key, deque[HttpConn]] = {}
         self._in_use: Counter[Key] = Counter()
 
-    async def take(
-        self, address: str, instance: str, *, sure: bool, bound: int | None = None
+    async def acquire(
+        self,
+        address: str,
+        instance: str,
+        *,
+        must_not_resend: bool,
+        max_conns: int | None = None,
     ) -> HttpConn:
         """Return a connection to one incarnation of an upstream, idle or new.
 
-        With ``sure`` set, an idle connection is used only if the upstream is
-        unlikely to close it during the request.  At most ``bound`` connections are
-        open, idle ones included.  The caller must call ``give_back`` or ``drop``
+        With ``must_not_resend`` set, an idle connection is used only if the upstream is
+        unlikely to close it during the request.  At most ``max_conns`` connections are
+        open, idle ones included.  The caller must call ``release`` or ``discard``
         exactly once.  Raises :class:`UpstreamError`; nothing has been sent then.
         """
         key = address, instance
-        if bound is not None and self._in_use[key] >= bound:
-            raise ConnectionsTakenError(bound)
+        if max_conns is not None and self._in_use[key] >= max_conns:
+            raise PoolExhaustedError(max_conns)
         self._in_use[key] += 1
         try:
-            return self._reuse(key, sure) or await HttpConn.open(address)
+            return self._reuse(key, must_not_resend) or await HttpConn.open(address)
         except BaseException:
             self._decrement_in_use(key)
             raise
 
-    def _reuse(self, key: Key, sure: bool) -> HttpConn | None:
-        idle_fraction = MUST_NOT_RESEND_IDLE_FRACTION if sure else 1.0
+    def _reuse(self, key: Key, must_not_resend: bool) -> HttpConn | None:
+        idle_fraction = MUST_NOT_RESEND_IDLE_FRACTION if must_not_resend else 1.0
         now = asyncio.get_running_loop().time()
         idle = self._idle.get(key)
         while idle:
@@ -71,8 +76,8 @@
             conn.abort()
         return None
 
-    def give_back(
-        self, address: str, instance: str, conn: HttpConn, bound: int | None = None
+    def release(
+        self, address: str, instance: str, conn: HttpConn, max_conns: int | None = None
     ) -> None:
         """Return a connection to the pool, or abort it if it can't be reused."""
         key = address, instance
@@ -84,12 +89,12 @@
         idle = self._idle.setdefault(key, deque())
         idle.append(conn)
         retained = MAX_IDLE_PER_UPSTREAM
-        if bound is not None:
-            retained = min(retained, max(0, bound - self._in_use[key]))
+        if max_conns is not None:
+            retained = min(retained, max(0, max_conns - self._in_use[key]))
         while len(idle) > retained:
             idle.popleft().abort()
 
-    def drop(self, address: str, instance: str) -> None:
+    def discard(self, address: str, instance: str) -> None:
         """Stop counting an acquired connection, which the caller aborts itself."""
         self._decrement_in_use((address, instance))
 
--- a/gooseberrydale/connection/limit_gossip.py
+++ b/gooseberrydale/connection/limit_gossip.py
@@ -11,7 +11,7 @@
 from gooseberrydale.connection.gateway_datagrams import GatewayDatagrams
 from gooseberrydale.version.upstream_limits import LimitReport, UpstreamLimits
 
-LOOK_S = 0.1
+POLL_INTERVAL_S = 0.1
 """Interval between two checks whether a report is due."""
 
 RELAYS_PER_ZONE = 2
@@ -45,8 +45,8 @@
     async def _repeat(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             report = self._limits.next_report(loop.time())
             if report is not None:
                 self._relay_index = (self._relay_index + 1) % RELAYS_PER_ZONE
-                self._datagrams.spread(report, self._relay_index)
+                self._datagrams.broadcast(report, self._relay_index)
--- a/gooseberrydale/connection/mesh.py
+++ b/gooseberrydale/connection/mesh.py
@@ -92,11 +92,11 @@
     @classmethod
     def of(cls, record: UpstreamRecord) -> Renewal:
         """Return the renewal that replaces ``record``."""
-        checksum = incarnation_check(record.incarnation)
+        checksum = incarnation_checksum(record.incarnation)
         return cls(record.name, checksum, record.seq, round(record.lease_s, 3))
 
 
-def incarnation_check(incarnation: str) -> int:
+def incarnation_checksum(incarnation: str) -> int:
     """Return a checksum that reveals whether two incarnations differ."""
     return zlib.crc32(incarnation.encode())
 
--- a/gooseberrydale/connection/mesh_node.py
+++ b/gooseberrydale/connection/mesh_node.py
@@ -61,7 +61,7 @@
     incarnation: str
     zone: str
     revision: int
-    heard_at: float
+    received_at: float
 
 
 AckListener = Callable[[PeerState], None]
@@ -104,7 +104,7 @@
         self.store = store
         self.timings = timings if timings is not None else MeshTimings()
         self.highest_revision = 0
-        self.control_heard_at = 0.0
+        self.control_received_at = 0.0
         self._on_ack = on_ack
         self._sessions: dict[Session, PeerState | None] = {}
         self._pull_expires_at = 0.0
@@ -164,13 +164,13 @@
             incarnation=hello.incarnation,
             zone=hello.zone,
             revision=revision,
-            heard_at=now,
+            received_at=now,
         )
         if session in self._sessions:
             self._sessions[session] = peer
         self.highest_revision = max(self.highest_revision, revision)
         if hello.role == CONTROL_ROLE:
-            self.control_heard_at = now
+            self.control_received_at = now
         if self._on_ack is not None:
             self._on_ack(peer)
 
--- a/gooseberrydale/connection/mesh_session.py
+++ b/gooseberrydale/connection/mesh_session.py
@@ -27,7 +27,7 @@
     UpstreamRecord,
 )
 from gooseberrydale.connection.mesh_node import MeshNode
-from gooseberrydale.connection.transit import TransitBound
+from gooseberrydale.connection.message_age import MessageAgeBound
 from gooseberrydale.errors import MESH_NO_HELLO, ProblemError, problem
 
 MAX_RECORDS_PER_MESSAGE = 256
@@ -61,7 +61,7 @@
         self._opens = opens
         self._loop = asyncio.get_running_loop()
         self._alarm = Alarm()
-        self._message_age = TransitBound()
+        self._message_age = MessageAgeBound()
         self._peer: Hello | None = None
         self._hello_received = asyncio.Event()
         self._peer_revision = 0
@@ -92,7 +92,7 @@
             return
         timings = self._node.timings
         gather_s = timings.gather_s if urgent else timings.renewal_gather_s
-        self._alarm.by(self._loop.time() + gather_s)
+        self._alarm.wake_by(self._loop.time() + gather_s)
 
     def incarnations_ended(self) -> None:
         """Schedule a message with the ended incarnations of upstreams."""
@@ -100,14 +100,14 @@
 
     def config_changed(self) -> None:
         """Send the new revision now."""
-        self._alarm.by(self._loop.time())
+        self._alarm.wake_by(self._loop.time())
 
     def close(self) -> None:
         """Make ``outgoing`` and ``run`` return, without waiting for them."""
         if not self._closed.done():
             self._closed.set_result(None)
         self._hello_received.set()
-        self._alarm.by(self._loop.time())
+        self._alarm.wake_by(self._loop.time())
 
     async def outgoing(self) -> AsyncIterator[MeshMessage]:
         """Yield the messages to send until the session is closed.
@@ -172,7 +172,7 @@
 
     def _handle(self, msg: MeshMessage) -> None:
         if isinstance(msg, Hello | Announce | RevisionAck):
-            self._message_age.heard(msg.sent_at, msg.echo_at, self.received_at)
+            self._message_age.record(msg.sent_at, msg.echo_at, self.received_at)
             self._peer_sent_at = msg.sent_at
             self._peer_sent_received_at = self.received_at
         if isinstance(msg, Hello):
@@ -187,10 +187,10 @@
                 self._merge_records(msg, self._peer)
             case RecordsWanted():
                 self._sent_version = 0
-                self._alarm.by(self._loop.time())
+                self._alarm.wake_by(self._loop.time())
             case ConfigWanted():
                 self._peer_wants_above = msg.above_revision
-                self._alarm.by(self._loop.time())
+                self._alarm.wake_by(self._loop.time())
             case ConfigOffer():
                 self._node.store.offer(msg.config)
 
@@ -207,7 +207,7 @@
         self._peer_revision = max(self._peer_revision, revision)
         self._node.record_revision(self, peer, revision, self.received_at)
         if revision > self._node.store.revision:
-            self._alarm.by(self._loop.time())
+            self._alarm.wake_by(self._loop.time())
 
     def _merge_records(self, msg: Announce, peer: Hello) -> None:
         for incarnation in msg.ended:
@@ -227,14 +227,16 @@
             )
             if not known:
                 self._lacks_records = True
-                self._alarm.by(self._records_requested_at + RECORDS_REQUEST_INTERVAL_S)
+                self._alarm.wake_by(
+                    self._records_requested_at + RECORDS_REQUEST_INTERVAL_S
+                )
 
     def _correct(self, record: UpstreamRecord) -> None:
         """Notify a sidecar that a newer incarnation uses its name."""
         current = self._node.directory.get(record.name, self.received_at)
         if current is not None and current.incarnation > record.incarnation:
             self._corrections.add(record.name)
-            self._alarm.by(self._loop.time())
+            self._alarm.wake_by(self._loop.time())
 
     def _hello(self) -> Hello:
         now = self._loop.time()
@@ -254,7 +256,7 @@
         yield from self._pending_ended(now)
         yield from self._pending_request(now)
         yield from self._pending_records(now)
-        self._alarm.by(self._acked_at + self._node.timings.heartbeat_s)
+        self._alarm.wake_by(self._acked_at + self._node.timings.heartbeat_s)
 
     def _pending_ack(self, now: float) -> Iterator[MeshMessage]:
         revision = self._node.store.revision
@@ -275,16 +277,16 @@
         if self._peer_revision <= revision:
             return
         if now < self._next_pull_at and revision < self._pulled_revision:
-            self._alarm.by(self._next_pull_at)
+            self._alarm.wake_by(self._next_pull_at)
             return
         pending_until = self._node.claim_pull(self._peer_revision, now)
         if pending_until is not None:
-            self._alarm.by(pending_until)
+            self._alarm.wake_by(pending_until)
             return
         # After an unanswered request, the other sessions may send the next one first.
         self._pulled_revision = self._peer_revision
         self._next_pull_at = now + 2 * self._node.timings.pull_s
-        self._alarm.by(self._next_pull_at)
+        self._alarm.wake_by(self._next_pull_at)
         yield ConfigWanted(above_revision=revision)
 
     def _pending_config(self) -> Iterator[MeshMessage]:
--- a/gooseberrydale/connection/transit.py
+++ b/gooseberrydale/connection/message_age.py
@@ -16,14 +16,14 @@
 """Most that the clocks drift apart, in seconds per second: twice the slew limit."""
 
 
-class TransitBound:
+class MessageAgeBound:
     """Upper bound of the age of messages received over one connection."""
 
     def __init__(self) -> None:
         self._min_clock_offset = -math.inf
         self._updated_at = 0.0
 
-    def heard(self, sent_at: float, echo_at: float | None, now: float) -> None:
+    def record(self, sent_at: float, echo_at: float | None, now: float) -> None:
         """Record a message that was created at ``sent_at`` by the peer's clock.
 
         ``echo_at`` is a lower bound of what the local clock showed then; None if the
--- a/gooseberrydale/connection/sse.py
+++ b/gooseberrydale/connection/sse.py
@@ -82,7 +82,7 @@
     event_id: str | None
 
 
-class EventCutter:
+class EventSplitter:
     """Splits a byte stream into complete events and leaves their bytes unchanged.
 
     The bytes of an incomplete event stay buffered.
@@ -93,7 +93,7 @@
         self._remainder = b""
 
     @property
-    def rest(self) -> bytes:
+    def remainder(self) -> bytes:
         """The bytes after the last complete event."""
         return self._remainder
 
--- a/gooseberrydale/connection/upstream_api.py
+++ b/gooseberrydale/connection/upstream_api.py
@@ -81,7 +81,7 @@
     retry_after_s: float | None = None
 
 
-def backpressure_of(status: int, headers: Headers) -> Backpressure:
+def parse_backpressure(status: int, headers: Headers) -> Backpressure:
     """Return the backpressure that a response states; ignore invalid headers."""
     fields = dict(headers)
     retry_after = fields.get(RETRY_AFTER) if status == STATUS_UNAVAILABLE else None
--- a/gooseberrydale/process/control/control.py
+++ b/gooseberrydale/process/control/control.py
@@ -342,7 +342,7 @@
                 incarnation=peer.incarnation,
                 zone=peer.zone,
                 revision=peer.revision,
-                received_at=peer.heard_at,
+                received_at=peer.received_at,
             )
         )
 
--- a/gooseberrydale/process/entry/entry.py
+++ b/gooseberrydale/process/entry/entry.py
@@ -210,7 +210,7 @@
         while True:
             startup_grace.tick(loop.time())
             records = self.directory.records(loop.time())
-            self._pool.keep(records)
+            self._pool.retain(records)
             level.upstreams_known = len(records)
             level.requests_quarantined = len(self.ended_incarnations.quarantined())
             level.cfg_revision = self.store.revision
--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -194,7 +194,7 @@
             self._rng,
         )
         peers = Peers(
-            self._own_name, self._gateway_links, self._datagrams.spread, self._rng
+            self._own_name, self._gateway_links, self._datagrams.broadcast, self._rng
         )
         self._store = StoreFollower(
             self._declared, dialect.store_feed, self._stores, peers
--- a/gooseberrydale/process/gateway/send.py
+++ b/gooseberrydale/process/gateway/send.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 
 from gooseberrydale.connection.http_conn import HttpConn, ResponseHead
-from gooseberrydale.connection.http_pool import ConnectionsTakenError, HttpPool
+from gooseberrydale.connection.http_pool import HttpPool, PoolExhaustedError
 from gooseberrydale.connection.mesh import UpstreamRecord
-from gooseberrydale.connection.sse import EventCutter, SseError
+from gooseberrydale.connection.sse import EventSplitter, SseError
 from gooseberrydale.connection.upstream_reply import UpstreamError
 from gooseberrydale.process.gateway.answer import HOP_BY_HOP_HEADERS, CallerAnswer
 from gooseberrydale.process.gateway.placer import ObservedStats
@@ -143,8 +143,8 @@
         conns, sure = self._deps.conns, not self._job.repeatable
         pool_key, bound = (record.address, record.name), self._max_connections()
         try:
-            conn = await conns.take(*pool_key, sure=sure, bound=bound)
-        except ConnectionsTakenError:
+            conn = await conns.acquire(*pool_key, must_not_resend=sure, max_conns=bound)
+        except PoolExhaustedError:
             return End.NOT_SENT
         except UpstreamError as exc:
             suspect(record.name, load, _now(), str(exc))
@@ -166,9 +166,9 @@
         finally:
             load.silence.unwatch(conn.abort)
             if whole:
-                conns.give_back(*pool_key, conn, bound)
+                conns.release(*pool_key, conn, bound)
             else:
-                conns.drop(*pool_key)
+                conns.discard(*pool_key)
                 self._abandon(conn)
 
     def _max_connections(self) -> int | None:
@@ -277,7 +277,7 @@
         load: UpstreamLoad,
         work: Work,
     ) -> None:
-        cutter = EventCutter() if self._job.route.resumable else None
+        cutter = EventSplitter() if self._job.route.resumable else None
         headers = head.headers
         if cutter is not None:
             # A resumed answer may differ in length from the one first announced.
@@ -295,8 +295,8 @@
                     raise _MoveStreamError
         if not self._answer.started:
             await self._answer.start(head.status, headers)
-        if cutter is not None and cutter.rest:
-            await self._answer.write(cutter.rest)
+        if cutter is not None and cutter.remainder:
+            await self._answer.write(cutter.remainder)
         await self._answer.end()
         run_s = _now() - self._answer.started_at
         self._deps.stats.run_times.ended(self._job.route.name, run_s)
@@ -309,7 +309,7 @@
             load.prefill_done(work)
             self._deps.work_changed()
 
-    async def _write_events(self, cutter: EventCutter, data: bytes) -> None:
+    async def _write_events(self, cutter: EventSplitter, data: bytes) -> None:
         try:
             events = cutter.feed(data)
         except SseError as exc:
--- a/gooseberrydale/process/membership.py
+++ b/gooseberrydale/process/membership.py
@@ -146,12 +146,12 @@
     def control_silence_s(self) -> float:
         """Seconds since the last message of a control replica, or since the start."""
         now = asyncio.get_running_loop().time()
-        return now - max(self._node.control_heard_at, self._started_at)
+        return now - max(self._node.control_received_at, self._started_at)
 
     def peers(self) -> tuple[PeerState, ...]:
         """Return the last received state of each process with an open session."""
         newest: dict[tuple[str, str], PeerState] = {}
-        for peer in sorted(self._node.peers(), key=lambda peer: peer.heard_at):
+        for peer in sorted(self._node.peers(), key=lambda peer: peer.received_at):
             newest[peer.role, peer.name] = peer
         return tuple(newest.values())
 
@@ -186,7 +186,7 @@
     def announce(self) -> None:
         """Make the next announcement immediately."""
         if self._alarm is not None:
-            self._alarm.by(asyncio.get_running_loop().time())
+            self._alarm.wake_by(asyncio.get_running_loop().time())
 
     async def run(self) -> None:
         """Announce at the start and then whenever a third of the lease has passed."""
@@ -195,7 +195,7 @@
         self._alarm = Alarm()
         while True:
             now = asyncio.get_running_loop().time()
-            self._alarm.by(now + self._announce_once(self._own_record(), now))
+            self._alarm.wake_by(now + self._announce_once(self._own_record(), now))
             await self._alarm.wait()
 
     def _announce_once(self, record: UpstreamRecord | None, now: float) -> float:
--- a/gooseberrydale/process/sidecar/role.py
+++ b/gooseberrydale/process/sidecar/role.py
@@ -18,7 +18,7 @@
 from gooseberrydale.connection.control_messages import FenceReply, ReadFenceReq
 from gooseberrydale.connection.mesh import SIDECAR_ROLE, UpstreamRecord
 from gooseberrydale.connection.rpc import ORDER, RpcServer
-from gooseberrydale.connection.upstream_api import LoadReply, backpressure_of
+from gooseberrydale.connection.upstream_api import LoadReply, parse_backpressure
 from gooseberrydale.connection.upstream_reply import Headers
 from gooseberrydale.errors import Problem
 from gooseberrydale.process.cfg import Cfg, SidecarCfg
@@ -264,7 +264,7 @@
             self._watch.poll_soon()
 
     def _on_head(self, status: int, headers: Headers) -> None:
-        self.dispatcher.apply_backpressure(backpressure_of(status, headers))
+        self.dispatcher.apply_backpressure(parse_backpressure(status, headers))
 
     def _on_first_part(self, attempt: Attempt, running: RunningAttempt) -> None:
         running.run.answering = True
--- a/gooseberrydale/request/cancel.py
+++ b/gooseberrydale/request/cancel.py
@@ -27,7 +27,7 @@
 
     Returns None if neither try got a reply.
     """
-    channel = pool.take(sidecar)
+    channel = pool.acquire(sidecar)
     try:
         for _ in range(MAX_TRIES):
             reply = await _try(channel, req, timeout_s)
@@ -36,7 +36,7 @@
             channel = pool.replace(sidecar, channel)
         return None
     finally:
-        pool.give_back(channel)
+        pool.release(channel)
 
 
 async def _try(
--- a/gooseberrydale/request/exchange.py
+++ b/gooseberrydale/request/exchange.py
@@ -94,7 +94,7 @@
 
         Without a connection nothing is sent, and ``ExchangeLost`` says ``NOT_SENT``.
         """
-        self._channel = self._pool.take(self.sidecar)
+        self._channel = self._pool.acquire(self.sidecar)
         await self._connect(self._channel, deadline)
         self._start(self._channel, DISPATCH, req)
 
@@ -107,7 +107,7 @@
         if self._call is not None:
             self._call.cancel()
         if self._channel is None:
-            self._channel = self._pool.take(self.sidecar)
+            self._channel = self._pool.acquire(self.sidecar)
         else:
             self._channel = self._pool.replace(self.sidecar, self._channel)
         req = AttachReq(
@@ -160,7 +160,7 @@
         if self._call is not None:
             self._call.cancel()
         if self._channel is not None:
-            self._pool.give_back(self._channel)
+            self._pool.release(self._channel)
             self._channel = None
 
     async def _connect(self, channel: RpcChannel, deadline: float | None) -> None:
--- a/gooseberrydale/version/directory.py
+++ b/gooseberrydale/version/directory.py
@@ -18,7 +18,7 @@
 from gooseberrydale.connection.mesh import (
     Renewal,
     UpstreamRecord,
-    incarnation_check,
+    incarnation_checksum,
 )
 from gooseberrydale.errors import InvariantError
 
@@ -184,7 +184,7 @@
         if held is None or held.expires <= now:
             return False
         record = held.record
-        if incarnation_check(record.incarnation) != renewal.incarnation:
+        if incarnation_checksum(record.incarnation) != renewal.incarnation:
             return False
         renewed = replace(record, seq=renewal.seq, lease_s=renewal.lease_s)
         self.offer(renewed, now, age_s=age_s, source=source)
--- a/tests/builders_limit_fleet.py
+++ b/tests/builders_limit_fleet.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 
 from gooseberrydale.connection.codec import decode, encode
-from gooseberrydale.connection.limit_gossip import LOOK_S
+from gooseberrydale.connection.limit_gossip import POLL_INTERVAL_S
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.upstream_limits import LimitReport, UpstreamLimits
 
@@ -152,8 +152,8 @@
                 self._note_known(node)
 
     def _report(self, number: int, node: Node) -> None:
-        offset = number % round(LOOK_S / STEP_S)
-        if round(self.now / STEP_S) % round(LOOK_S / STEP_S) != offset:
+        offset = number % round(POLL_INTERVAL_S / STEP_S)
+        if round(self.now / STEP_S) % round(POLL_INTERVAL_S / STEP_S) != offset:
             return
         node.limits.retain((UPSTREAM,), self.now)
         report = node.limits.next_report(self.now)
--- a/tests/test_area_gossip.py
+++ b/tests/test_area_gossip.py
@@ -152,7 +152,7 @@
         if stopped is not None:
             nodes[stopped].up = False
         for relay_index, sender in enumerate((nodes[0], nodes[6])):
-            sender.datagrams.spread(TextMessage("hello"), relay_index)
+            sender.datagrams.broadcast(TextMessage("hello"), relay_index)
         await asyncio.sleep(SETTLE_S)
         delivered = [
             texts for n, texts in enumerate(received) if n not in (0, 6, stopped)
--- a/tests/test_directory.py
+++ b/tests/test_directory.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from gooseberrydale.connection.transit import TransitBound
+from gooseberrydale.connection.message_age import MessageAgeBound
 from gooseberrydale.version.directory import MAX_LEASE_S, Directory, new_incarnation
 from gooseberrydale.version.session_targets import EntryPoint, session_targets
 from tests.builders_mesh import LEASE_S, record
@@ -175,10 +175,10 @@
     ],
 )
 def test_age_of_a_message_is_never_underestimated(offset, echo_delay, delay):
-    bound = TransitBound()
+    bound = MessageAgeBound()
     assert bound.age_s(0.0, 50.0) == float("inf")
     # The peer's clock is ours plus offset; it received our stamp echo_delay late.
-    bound.heard(50.0 + offset, 50.0 - echo_delay, 50.0 + delay)
+    bound.record(50.0 + offset, 50.0 - echo_delay, 50.0 + delay)
     age_s = bound.age_s(50.0 + offset, 50.0 + delay)
     assert delay <= age_s <= delay + echo_delay + 0.01
 
--- a/tests/test_directory_machine.py
+++ b/tests/test_directory_machine.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from gooseberrydale.connection.mesh import UpstreamRecord
-from gooseberrydale.connection.transit import TransitBound
+from gooseberrydale.connection.message_age import MessageAgeBound
 from gooseberrydale.version.directory import Directory, new_incarnation
 from tests.builders_mesh import LEASE_S, record
 
@@ -42,7 +42,7 @@
     """One end of a connection, at ``node``, with its estimate of the peer's clock."""
 
     node: Node
-    transit: TransitBound = field(default_factory=TransitBound)
+    transit: MessageAgeBound = field(default_factory=MessageAgeBound)
     sent_version: int = 0
     peer_sent_at: float | None = None
     peer_received_at: float = 0.0
@@ -113,7 +113,7 @@
         if self.nodes[end.node.index] is not end.node:
             return
         now = self.clock(end.node)
-        end.transit.heard(msg.sent_at, msg.echo_at, now)
+        end.transit.record(msg.sent_at, msg.echo_at, now)
         end.peer_sent_at, end.peer_received_at = msg.sent_at, now
         age_s = end.transit.age_s(msg.sent_at, now)
         for received in msg.records:
