--- a/gooseberrydale/process/entry/app.py
+++ b/gooseberrydale/process/entry/app.py
@@ -20,7 +20,7 @@
     ProblemError,
     problem,
 )
-from gooseberrydale.process.entry.calls import CallHandlers, may_call
+from gooseberrydale.process.entry.call_handlers import CallHandlers, may_call
 from gooseberrydale.process.entry.responses import JSON_TYPE, refusal
 from gooseberrydale.process.instruments import Instruments
 from gooseberrydale.request.body import CHAT_PATH, TEXT_PATH
--- a/gooseberrydale/process/entry/entry.py
+++ b/gooseberrydale/process/entry/entry.py
@@ -18,8 +18,8 @@
 from gooseberrydale.process.cfg import Cfg, EntryCfg
 from gooseberrydale.process.cfg_file import read_token
 from gooseberrydale.process.entry.app import make_app
-from gooseberrydale.process.entry.calls import CallHandlers
-from gooseberrydale.process.entry.gatekeeper import EntryMiddleware, Phase
+from gooseberrydale.process.entry.call_handlers import CallHandlers
+from gooseberrydale.process.entry.middleware import EntryMiddleware, Phase
 from gooseberrydale.process.entry.quota_link import QuotaLink, entry_fleet
 from gooseberrydale.process.http_server import HttpServer
 from gooseberrydale.process.membership import Mesh
--- a/gooseberrydale/process/sidecar/calls.py
+++ b/gooseberrydale/process/sidecar/call_builder.py
@@ -47,7 +47,7 @@
         """The state that its last health check returned."""
 
     @property
-    def tells_requests(self) -> bool:
+    def lists_requests(self) -> bool:
         """Whether the load report lists the requests that have not ended."""
 
     async def alive(self) -> bool:
@@ -134,7 +134,7 @@
         silence_s = self._cfg.upstream_silence_s + PREFILL_SLACK * prefill_s
         if req.stream:
             return silence_s
-        if self._is_completion(req) and self._status.tells_requests:
+        if self._is_completion(req) and self._status.lists_requests:
             return self._cfg.upstream_silence_s
         if not self._is_completion(req):
             return max(silence_s, req.deadline_s)
--- a/gooseberrydale/process/sidecar/orders.py
+++ b/gooseberrydale/process/sidecar/orders.py
@@ -35,7 +35,7 @@
 AskControl = Callable[[ReadFenceReq, float], Awaitable[Result[FenceReply, Problem]]]
 
 
-class OrderKeeper:
+class OrderExecutor:
     """Executes orders at the upstream ``name`` at ``base_url``.
 
     ``ask_control`` reads the current fencing number.  ``settle`` is awaited after each
--- a/gooseberrydale/process/sidecar/role.py
+++ b/gooseberrydale/process/sidecar/role.py
@@ -26,10 +26,10 @@
 from gooseberrydale.process.instruments import Level
 from gooseberrydale.process.membership import Mesh
 from gooseberrydale.process.sidecar.attempt import Attempt
-from gooseberrydale.process.sidecar.cache_follow import CacheFollower
+from gooseberrydale.process.sidecar.cache_follower import CacheFollower
 from gooseberrydale.process.sidecar.dispatcher import Dispatcher, work_id
 from gooseberrydale.process.sidecar.kv_transfer import KvTransfer
-from gooseberrydale.process.sidecar.orders import OrderKeeper
+from gooseberrydale.process.sidecar.orders import OrderExecutor
 from gooseberrydale.process.sidecar.service import SidecarService
 from gooseberrydale.process.sidecar.upstream_runs import RunningAttempt, UpstreamRuns
 from gooseberrydale.process.sidecar.upstream_watch import UpstreamWatch
@@ -103,7 +103,7 @@
         self._control = ControlClient(
             cfg.fleet.controls, token, tls_files(cfg.fleet.tls), rng
         )
-        self._orders = OrderKeeper(
+        self._orders = OrderExecutor(
             cfg.node.name,
             self._sidecar.upstream,
             self._sidecar.checks_fencing,
--- a/gooseberrydale/process/sidecar/upstream_runs.py
+++ b/gooseberrydale/process/sidecar/upstream_runs.py
@@ -75,12 +75,12 @@
                 incarnation, "a connection broke after the upstream had ended"
             )
 
-    def upstream_gone(self, reason: str) -> None:
+    def upstream_unreachable(self, reason: str) -> None:
         """Record that the upstream accepts no connection."""
         if not self._upstream_incarnation.runs.has_ended:
             self._report_end(self._upstream_incarnation, reason)
 
-    def upstream_there(self, incarnation: str) -> None:
+    def upstream_answered(self, incarnation: str) -> None:
         """Record that the upstream answered a health check.
 
         ``incarnation`` is empty if the answer names none.
--- a/gooseberrydale/process/sidecar/upstream_watch.py
+++ b/gooseberrydale/process/sidecar/upstream_watch.py
@@ -34,10 +34,10 @@
 class IncarnationListener(Protocol):
     """Receives the result of each poll of the upstream."""
 
-    def upstream_gone(self, reason: str) -> None:
+    def upstream_unreachable(self, reason: str) -> None:
         """The upstream accepts no connection."""
 
-    def upstream_there(self, incarnation: str) -> None:
+    def upstream_answered(self, incarnation: str) -> None:
         """The upstream answered; ``incarnation`` is empty if it names none."""
 
 
@@ -93,7 +93,7 @@
         return True
 
     @property
-    def tells_requests(self) -> bool:
+    def lists_requests(self) -> bool:
         """Whether the load report lists the requests that have not ended."""
         return self._lists_requests
 
@@ -135,7 +135,7 @@
                 self._on_poll_failed(exc)
                 return
             self._failures = 0
-            self._incarnations.upstream_there(state.incarnation)
+            self._incarnations.upstream_answered(state.incarnation)
             self._set_state(state)
             self.last_answer_at = started_at
 
@@ -172,7 +172,7 @@
     def _on_poll_failed(self, exc: UpstreamError) -> None:
         self._failures += 1
         if not exc.sent:
-            self._incarnations.upstream_gone(str(exc))
+            self._incarnations.upstream_unreachable(str(exc))
         if exc.sent and self._failures < FAILED_POLLS_TO_UNREADY:
             return
         old = self.state
--- a/gooseberrydale/process/sidecar/worker.py
+++ b/gooseberrydale/process/sidecar/worker.py
@@ -9,7 +9,7 @@
 from gooseberrydale.connection.messages import DispatchReq
 from gooseberrydale.process.cfg import SidecarCfg
 from gooseberrydale.process.sidecar.attempt import Attempt
-from gooseberrydale.process.sidecar.calls import CallBuilder
+from gooseberrydale.process.sidecar.call_builder import CallBuilder
 from gooseberrydale.process.sidecar.kv_transfer import KvTransfer
 from gooseberrydale.process.sidecar.upstream_run import run_upstream
 from gooseberrydale.process.sidecar.upstream_watch import UpstreamWatch
--- a/tests/builders_claims.py
+++ b/tests/builders_claims.py
@@ -20,7 +20,7 @@
 from gooseberrydale.connection.rpc import PROPOSE, RpcServer
 from gooseberrydale.errors import NO_QUORUM, NOT_LEADER, problem
 from gooseberrydale.version.claims import ClaimTable
-from tests.builders_entry import TOKEN, FakeSidecar, beat
+from tests.builders_entry import TOKEN, FakeSidecar, send_heartbeats
 
 BID_BODY = b'{"bid":9}'
 
@@ -88,7 +88,7 @@
 
 async def answer_bid_late(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
     """A service's answer in two chunks, after the sidecar's ``release`` is set."""
-    async for frame in beat(fake, req):
+    async for frame in send_heartbeats(fake, req):
         yield frame
     async for frame in answer_bid(fake, req):
         yield frame
--- a/tests/builders_entry.py
+++ b/tests/builders_entry.py
@@ -278,7 +278,7 @@
     yield fake.end(req, req.first_offset + len(events))
 
 
-async def beat(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
+async def send_heartbeats(fake: FakeSidecar, req: DispatchReq) -> AsyncIterator[Any]:
     """Send heartbeats until ``release`` of the fake is set."""
     while not fake.release.is_set():
         yield Heartbeat(req.request_id, Load())
--- a/tests/builders_memory_roles.py
+++ b/tests/builders_memory_roles.py
@@ -27,7 +27,7 @@
 from gooseberrydale.process.quota_client import QuotaClient
 from gooseberrydale.process.sidecar import upstream_run
 from gooseberrydale.process.sidecar.attempt import Attempt
-from gooseberrydale.process.sidecar.calls import CallBuilder
+from gooseberrydale.process.sidecar.call_builder import CallBuilder
 from gooseberrydale.process.sidecar.dispatcher import Dispatcher
 from gooseberrydale.process.sidecar.service import SidecarService
 from gooseberrydale.request.background import Background
@@ -63,7 +63,7 @@
     """Reports whether a simulated upstream is up."""
 
     state = UpstreamState()
-    tells_requests = False
+    lists_requests = False
 
     def __init__(self, upstream: Upstream) -> None:
         self._upstream = upstream
--- a/tests/test_ended_upstreams.py
+++ b/tests/test_ended_upstreams.py
@@ -30,7 +30,7 @@
 )
 from tests.builders_gateway import HOST, call, declared, json_body, route
 from tests.builders_mesh import Member, until
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 CALLS = route(max_runs=2)
 STREAMS = route(
--- a/tests/test_entry_faults.py
+++ b/tests/test_entry_faults.py
@@ -26,13 +26,13 @@
     announce,
     answer_words,
     ask,
-    beat,
     chat_event,
     make_config,
     openai_client,
     read_stream,
     run,
     running,
+    send_heartbeats,
     wait_until,
 )
 from tests.relay import Relay
@@ -56,7 +56,7 @@
     """Send two words, then only heartbeats."""
     async for frame in start_words(fake, req):
         yield frame
-    async for frame in beat(fake, req):
+    async for frame in send_heartbeats(fake, req):
         yield frame
 
 
@@ -349,7 +349,7 @@
 def test_passed_deadline_ends_the_request_and_cancels_the_attempt() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
-        fake.script = beat
+        fake.script = send_heartbeats
         config = make_config()
         short_profile = replace(config.profiles["lots"], deadline_s=0.3)
         config = replace(config, profiles={"lots": short_profile})
--- a/tests/test_entry_shutdown.py
+++ b/tests/test_entry_shutdown.py
@@ -21,10 +21,10 @@
     WORDS,
     FakeSidecar,
     announce,
-    beat,
     make_config,
     run,
     running,
+    send_heartbeats,
     wait_until,
 )
 
@@ -70,7 +70,7 @@
     yield fake.accepted(req)
     for offset, event in enumerate(WORD_EVENTS):
         if offset == 2:
-            async for frame in beat(fake, req):
+            async for frame in send_heartbeats(fake, req):
                 yield frame
         yield fake.chunk(req, offset, event)
     yield fake.end(req, len(WORD_EVENTS))
@@ -176,7 +176,7 @@
 def test_unstreamed_request_that_outlasts_the_drain_time_gets_an_error() -> None:
     async def scenario() -> None:
         fake = FakeSidecar("u1")
-        fake.script = beat
+        fake.script = send_heartbeats
         async with running(fake, drain_s=0.5) as entry, client_of(entry) as client:
             asking = client.post("/v1/chat/completions", json=CHAT)
             reading = asyncio.create_task(asking)
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -35,7 +35,7 @@
     running_gateway,
     stream_head,
 )
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 STREAM = route(path_prefix="/streams/", streamed=True, max_runs=2, name="streams")
 RESUMABLE = route(
--- a/tests/test_gateway_quota.py
+++ b/tests/test_gateway_quota.py
@@ -22,7 +22,7 @@
     route,
     running_gateway,
 )
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 BUCKET_FILL_S = 0.3
 """Time for the bucket to fill.  The gateway owns all counts as soon as it has received
--- a/tests/test_open_runs.py
+++ b/tests/test_open_runs.py
@@ -20,7 +20,7 @@
 )
 from tests.builders_ending import HARMFUL, SLOW, deployment
 from tests.builders_gateway import HOST, declared, route
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 A, B = b"a" * 16, b"b" * 16
 
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -21,7 +21,7 @@
     ReadFenceReq,
 )
 from gooseberrydale.errors import NO_QUORUM, Problem, problem
-from gooseberrydale.process.sidecar.orders import OrderKeeper
+from gooseberrydale.process.sidecar.orders import OrderExecutor
 from gooseberrydale.version.fencing import Fence, OrderDecision
 from tests.builders_sidecar import (
     Request,
@@ -30,7 +30,7 @@
     send_body,
     tiny_upstream,
 )
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 ORDER = OrderReq(5, OrderKind.LOAD_WEIGHTS, "upstream-1", "model-a", "v2")
 
@@ -50,13 +50,13 @@
 
 
 class Bench:
-    """An ``OrderKeeper`` in front of a tiny upstream."""
+    """An ``OrderExecutor`` in front of a tiny upstream."""
 
     def __init__(self, upstream: TinyUpstream, control: Control) -> None:
         self.upstream = upstream
         self.control = control
         self.settled = 0
-        self.keeper = OrderKeeper(
+        self.keeper = OrderExecutor(
             "upstream-1", upstream.url, False, control.ask, self.settle
         )
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -23,7 +23,7 @@
 from gooseberrydale.version.quotas.quota import Quota, QuotaUnit
 from tests import builders_platform as wire
 from tests.builders_gateway import RawUpstream, Writer, record
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 from control_http import ControlHttp  # isort: skip
 from document_json import decode_document  # isort: skip
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -21,7 +21,7 @@
 )
 from gooseberrydale.connection.rpc import PUSH_CONFIG, READ_CONFIG
 from gooseberrydale.version.declarations import Config
-from tests import sidecar_bench
+from tests import sidecar_harness
 from tests.builders_sidecar import (
     Request,
     Writer,
@@ -31,7 +31,7 @@
     start_stream,
     tiny_upstream,
 )
-from tests.sidecar_bench import (
+from tests.sidecar_harness import (
     TEST_TIMEOUT_S,
     SidecarHarness,
     events_of,
@@ -48,7 +48,7 @@
     folder: pathlib.Path, answer: Any, **settings: Any
 ) -> AsyncIterator[SidecarHarness]:
     async with tiny_upstream(answer) as upstream:
-        async with sidecar_bench.running_sidecar(
+        async with sidecar_harness.running_sidecar(
             folder, upstream.url, **settings
         ) as harness:
             harness.upstream = upstream
--- a/tests/test_sidecar_engine.py
+++ b/tests/test_sidecar_engine.py
@@ -20,7 +20,7 @@
 from gooseberrydale.example.engine_host import HostCfg
 from gooseberrydale.example.kv_store_app import kv_store_app
 from gooseberrydale.request.prompt import prompt_pieces
-from tests.sidecar_bench import SidecarHarness, read_frames, run, running_sidecar
+from tests.sidecar_harness import SidecarHarness, read_frames, run, running_sidecar
 
 GUIDE = "guide " * 4_000
 FAST = EngineCfg(prefill_tps=8_000.0, decode_s=0.001)
--- a/tests/test_signpost.py
+++ b/tests/test_signpost.py
@@ -8,7 +8,7 @@
 from gooseberrydale.process.cfg import Cfg, ControlCfg, FleetCfg, NodeCfg
 from gooseberrydale.process.control.signpost import CHECK_VALIDITY_S, Signpost
 from tests.builders_gateway import ReceivedAnswer, free_port, read_answer
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 
 async def post(signpost: Signpost, target: str) -> ReceivedAnswer:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -28,7 +28,7 @@
     route,
     running_gateway,
 )
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 NEVER = float("-inf")
 
--- a/tests/test_silent_answer.py
+++ b/tests/test_silent_answer.py
@@ -18,7 +18,7 @@
     sidecar_cfg,
     tiny_upstream,
 )
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 LOADS: dict[str, tuple[dict[str, Any], bool]] = {
     "the request is open": ({"requests": [["req-1", "2"]], "waiting": 0}, False),
@@ -56,10 +56,10 @@
 class IgnoreIncarnations:
     """An observer that ignores all events."""
 
-    def upstream_gone(self, reason: str) -> None:
+    def upstream_unreachable(self, reason: str) -> None:
         pass
 
-    def upstream_there(self, incarnation: str) -> None:
+    def upstream_answered(self, incarnation: str) -> None:
         pass
 
 
--- a/tests/test_upstream_backoff.py
+++ b/tests/test_upstream_backoff.py
@@ -19,7 +19,7 @@
 )
 from tests.builders_limits import LimitedUpstream
 from tests.builders_logs import logged
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 BACKOFF_S = 3.0
 SETTLE_S = 0.5
--- a/tests/test_upstream_leaving.py
+++ b/tests/test_upstream_leaving.py
@@ -13,7 +13,7 @@
     running_gateway,
 )
 from tests.builders_limits import LimitedUpstream
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 DRAIN_S = 0.5
 
--- a/tests/test_upstream_limits.py
+++ b/tests/test_upstream_limits.py
@@ -19,7 +19,7 @@
 from tests.builders_limits import LimitedUpstream, allowed, deployment
 from tests.builders_logs import logged
 from tests.builders_mesh import until
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 
 def test_a_limit_that_is_named_changed_or_lifted_is_logged_once() -> None:
--- a/tests/test_upstream_runs.py
+++ b/tests/test_upstream_runs.py
@@ -33,11 +33,11 @@
 
 
 def unreachable(runs: UpstreamRuns, open_runs: list[RunningAttempt]) -> None:
-    runs.upstream_gone("refused")
+    runs.upstream_unreachable("refused")
 
 
 def polled(incarnation: str) -> Step:
-    return lambda runs, _: runs.upstream_there(incarnation)
+    return lambda runs, _: runs.upstream_answered(incarnation)
 
 
 BREAK, ANSWER, LEAVE = end(RunEnd.BROKE), end(RunEnd.ANSWERED), end(RunEnd.LEFT)
@@ -134,7 +134,7 @@
         table = EndedIncarnations()
         runs = _runs_reported_to(table, leaving=True)
         runs.record_start(dispatch_req("i1"))
-        runs.upstream_gone("refused")
+        runs.upstream_unreachable("refused")
         assert len(table) == 0
 
     asyncio.run(main())
--- a/tests/test_work_gossip.py
+++ b/tests/test_work_gossip.py
@@ -19,7 +19,7 @@
     WorkReport,
 )
 from tests.builders_gateway import free_port
-from tests.sidecar_bench import run
+from tests.sidecar_harness import run
 
 PLAY_S = 0.8
 
