--- a/gooseberrydale/process/control/announcements.py
+++ b/gooseberrydale/process/control/announcements.py
@@ -92,7 +92,7 @@
             )
         )
 
-    def has_weights(self, name: str, version: str, born: int | None = None) -> None:
+    def record_weights(self, name: str, version: str, born: int | None = None) -> None:
         """Record that an upstream serves other weights than it announced.
 
         ``born`` is the start of the incarnation that reported them, None if unknown.
--- a/gooseberrydale/process/control/control.py
+++ b/gooseberrydale/process/control/control.py
@@ -66,7 +66,7 @@
 from gooseberrydale.version.replication.core import RaftCfg
 
 if TYPE_CHECKING:
-    from gooseberrydale.process.control.measures import ControlMetrics
+    from gooseberrydale.process.control.control_metrics import ControlMetrics
     from gooseberrydale.process.metrics import Metrics
 
 HTTP_GRACE_S = 5.0
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class DeploymentInterface:
     """Replaces the operators' interface and the transport of orders for one deployment.
 
     ``make_app`` builds the HTTP application for operators and for upstreams that
@@ -110,7 +110,7 @@
         in_memory: bool = False,
         declarations: Config | None = None,
         operators: Mapping[str, str] | None = None,
-        interface: Surroundings | None = None,
+        interface: DeploymentInterface | None = None,
     ) -> None:
         if cfg.control is None:
             raise InvariantError(
@@ -256,7 +256,7 @@
     def _make_metrics(self, cfg: Cfg) -> ControlMetrics:
         # Imported here because the metrics libraries need memory and 65 ms, a tenth of
         # the startup time, while gateways wait for the document.
-        from gooseberrydale.process.control.measures import ControlMetrics
+        from gooseberrydale.process.control.control_metrics import ControlMetrics
         from gooseberrydale.process.metrics import Metrics
 
         return ControlMetrics(
@@ -273,7 +273,7 @@
         cfg: Cfg,
         own: ControlCfg,
         announcements: Announcements,
-        interface: Surroundings,
+        interface: DeploymentInterface,
     ) -> WeightsRollout | None:
         if self._replica is None:
             return None
@@ -355,7 +355,7 @@
         return {"replicated": True, **to_builtins(self._replica.status)}
 
 
-def control_role(cfg: Cfg, interface: Surroundings) -> Role:
+def control_role(cfg: Cfg, interface: DeploymentInterface) -> Role:
     """Return the control role of this instance, as the settings select it."""
     if cfg.control is not None and cfg.control.signpost:
         return Signpost(cfg)
--- a/gooseberrydale/process/control/ended_incarnations_cache.py
+++ b/gooseberrydale/process/control/ended_incarnations_cache.py
@@ -12,7 +12,7 @@
 
 from gooseberrydale.connection.codec import message
 from gooseberrydale.connection.mesh import EndedIncarnation
-from gooseberrydale.process.control.kept_file import CacheFile
+from gooseberrydale.process.control.cache_file import CacheFile
 from gooseberrydale.version.ended_incarnations import EndedIncarnations
 
 
--- a/gooseberrydale/process/control/weights_rollout.py
+++ b/gooseberrydale/process/control/weights_rollout.py
@@ -20,7 +20,7 @@
 from gooseberrydale.connection.mesh import UpstreamRecord
 from gooseberrydale.log_events import WeightsOrdered, emit
 from gooseberrydale.process.control.announcements import Announcements
-from gooseberrydale.process.control.engine_survey import EnginePoller
+from gooseberrydale.process.control.engine_poller import EnginePoller
 from gooseberrydale.process.control.machine import PublishingMachine
 from gooseberrydale.process.control.replica import Replica
 from gooseberrydale.process.control.tasks import spawn, stop
@@ -238,7 +238,7 @@
             return True
         loaded = report.versions.get(engine.model, 0)
         if loaded >= target and not report.busy:
-            self._announcements.has_weights(engine.name, str(loaded), report.born_ms)
+            self._announcements.record_weights(engine.name, str(loaded), report.born_ms)
             return True
         draining = report.running > MAX_KEPT_RUNS and _now() < drain_deadline
         if report.busy or draining or not self._may_order():
--- a/tests/test_control_open.py
+++ b/tests/test_control_open.py
@@ -11,7 +11,7 @@
 
 from gooseberrydale.process.cfg import Cfg, ControlCfg, FleetCfg, NodeCfg
 from gooseberrydale.process.control.announcements import Announcements
-from gooseberrydale.process.control.control import Control, Surroundings
+from gooseberrydale.process.control.control import Control, DeploymentInterface
 from gooseberrydale.process.control.documents import Documents
 from gooseberrydale.process.control.ended_incarnations_cache import (
     EndedIncarnationsCache,
@@ -57,7 +57,7 @@
                 snapshot_entries=8,
             ),
         )
-        interface = Surroundings(self._make_app, NoEngines())
+        interface = DeploymentInterface(self._make_app, NoEngines())
         self.control = Control(cfg, interface=interface)
 
     def _make_app(
--- a/tests/test_upstream_incarnations.py
+++ b/tests/test_upstream_incarnations.py
@@ -156,7 +156,7 @@
 def test_weights_of_a_new_incarnation_count_before_its_announcement() -> None:
     async def scenario(fleet: Fleet) -> None:
         await fleet.beat(30, born=BORN, models=[{"name": "m", "version": 2}])
-        fleet.announcements.has_weights("e", "3", BORN + 5)
+        fleet.announcements.record_weights("e", "3", BORN + 5)
         assert fleet.known().weights_version == "3"
         await fleet.beat(31, born=BORN, models=[{"name": "m", "version": 2}])
         assert fleet.known().weights_version == "3"
