--- a/gooseberrydale/process/gateway/gateway.py
+++ b/gooseberrydale/process/gateway/gateway.py
@@ -295,7 +295,7 @@
         level.requests_quarantined = len(self.ended_incarnations.quarantined())
         views = map(self._stores.view, self._stores.addresses)
         level.stores_up = sum(view is not None and view.up for view in views)
-        level.log_lines_dropped = logs.dropped()
+        level.log_lines_dropped = logs.count_dropped_lines()
 
     def _make_mesh(self, cfg: Cfg, incarnation: str) -> Mesh:
         def own_record() -> UpstreamRecord:
--- a/gooseberrydale/process/logs.py
+++ b/gooseberrydale/process/logs.py
@@ -25,7 +25,7 @@
 from loguru import logger
 
 from gooseberrydale.process.cfg import LogCfg
-from gooseberrydale.process.line_out import LineBudget, LineWriter
+from gooseberrydale.process.line_writer import LineBudget, LineWriter
 
 if TYPE_CHECKING:
     from loguru import Message, Record
@@ -85,7 +85,7 @@
     logger.configure(extra=extra)
 
 
-def dropped() -> int:
+def count_dropped_lines() -> int:
     """Return how many lines could not be written to standard output since the start."""
     return 0 if _line_writer is None else _line_writer.dropped
 
--- a/gooseberrydale/process/runner.py
+++ b/gooseberrydale/process/runner.py
@@ -70,10 +70,10 @@
     role: Role = getattr(importlib.import_module(module), class_name)(cfg)
     if isinstance(role, HasIncarnation):
         logs.identify(logs.Identity(name, cfg.node.name, role.incarnation))
-    return observed(name, cfg, role)
+    return add_metrics_listener(name, cfg, role)
 
 
-def observed(name: str, cfg: Cfg, role: Role) -> Role:
+def add_metrics_listener(name: str, cfg: Cfg, role: Role) -> Role:
     """Add a listener for metrics to ``role`` if the settings define one."""
     if not cfg.metrics.http:
         return role
--- a/tests/test_line_out.py
+++ b/tests/test_line_writer.py
@@ -14,7 +14,7 @@
 
 from gooseberrydale.process import logs
 from gooseberrydale.process.cfg import LogCfg
-from gooseberrydale.process.line_out import LineBudget, LineWriter
+from gooseberrydale.process.line_writer import LineBudget, LineWriter
 
 
 def test_too_many_lines_of_one_kind_are_suppressed_and_counted() -> None:
