--- a/gooseberrydale/example/prompts.py
+++ b/gooseberrydale/example/prompts.py
@@ -22,8 +22,8 @@
 from gooseberrydale.example.prefix_cache import KvPiece
 
 BYTES_PER_TOKEN = 4
-SHORTEST_ANSWER = 16
-LONGEST_ANSWER = 64
+MIN_ANSWER_TOKENS = 16
+MAX_ANSWER_TOKENS = 64
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,8 +109,8 @@
 
 def _prompt(body: CompletionBody, digest: bytes, emitted: str, length: int) -> Prompt:
     first = len(emitted) // TOKEN_CHARS
-    natural = answer_length(digest, SHORTEST_ANSWER, LONGEST_ANSWER) - first
-    limit = body.max_completion_tokens or body.max_tokens or LONGEST_ANSWER
+    natural = answer_length(digest, MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS) - first
+    limit = body.max_completion_tokens or body.max_tokens or MAX_ANSWER_TOKENS
     return Prompt(
         digest=digest,
         tokens=-(-length // BYTES_PER_TOKEN),
--- a/measure/stand_ins.py
+++ b/measure/fake_peers.py
@@ -119,7 +119,7 @@
     )
 
 
-def config(revision: int, workspaces: int, profiles: int) -> Config:
+def make_config(revision: int, workspaces: int, profiles: int) -> Config:
     """Return a configuration with this many workspaces and profiles."""
     return Config(
         revision=revision,
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -27,10 +27,10 @@
 from gooseberrydale.connection.rpc import PROPOSE, RpcChannel
 from gooseberrydale.example.app_server import AppServer
 from gooseberrydale.version.declarations import Workspace
+from measure.fake_engine import EventSource
+from measure.fake_peers import Peer, Peers, make_config
 from measure.fit import Line, fit
 from measure.report import commit_id
-from measure.stand_in_engine import EventSource
-from measure.stand_ins import Peer, Peers, config
 from measure.subject import Subject, Usage
 from tests.fleet import FLEET_TOKEN, UPSTREAM_HTTP, key_digest
 
@@ -81,14 +81,14 @@
 async def workspaces(subject: Subject, size: int) -> Usage:
     """Store a configuration of ``size`` workspaces."""
     async with Peers(1, ENTRY_ROLE, subject.address) as peers:
-        peers.all[0].store.offer(config(1, size, PROFILES))
+        peers.all[0].store.offer(make_config(1, size, PROFILES))
         return await _settled_usage(subject)
 
 
 async def profiles(subject: Subject, size: int) -> Usage:
     """Store a configuration of ``size`` profiles."""
     async with Peers(1, ENTRY_ROLE, subject.address) as peers:
-        peers.all[0].store.offer(config(1, 8, size))
+        peers.all[0].store.offer(make_config(1, 8, size))
         return await _settled_usage(subject)
 
 
@@ -165,7 +165,7 @@
 
 
 async def _send_revisions(peer: Peer, rate: float) -> None:
-    base = config(1, WORKSPACES, PROFILES)
+    base = make_config(1, WORKSPACES, PROFILES)
     revision = 1
     while rate > 0:
         peer.store.offer(replace(base, revision=revision))
@@ -174,7 +174,7 @@
 
 
 async def _declare(subject: Subject, workspace_count: int, profile_count: int) -> None:
-    wanted = config(0, workspace_count, profile_count)
+    wanted = make_config(0, workspace_count, profile_count)
     await asyncio.to_thread(
         subject.fleet.declare,
         tuple(wanted.profiles.values()),
--- a/measure/slopes_path.py
+++ b/measure/slopes_path.py
@@ -23,7 +23,7 @@
 from measure.load import router_body_maker, run_load
 from measure.report import commit_id
 from measure.site import ENGINE_PROFILE, Site
-from measure.subject import Usage, watch
+from measure.subject import Usage, measure_usage
 from measure.workload import Shape
 
 ROLES = {"entry": "entry-1", "sidecar": "sidecar-engine-1"}
@@ -149,7 +149,7 @@
     await asyncio.sleep(EDGE_TRIM_S)
     pids = [site.fleet.processes[name].pid for name in ROLES.values()]
     usages = await asyncio.gather(
-        *(watch(pid, LOAD_S - 2 * EDGE_TRIM_S) for pid in pids)
+        *(measure_usage(pid, LOAD_S - 2 * EDGE_TRIM_S) for pid in pids)
     )
     result = await load
     incomplete = [a for a in result.answers if a.outcome is not Outcome.WHOLE]
--- a/measure/subject.py
+++ b/measure/subject.py
@@ -73,10 +73,10 @@
 
     async def usage(self, seconds: float) -> Usage:
         """Return what the process uses during the next ``seconds``."""
-        return await watch(self.fleet.processes[self.name].pid, seconds)
+        return await measure_usage(self.fleet.processes[self.name].pid, seconds)
 
 
-async def watch(pid: int, seconds: float) -> Usage:
+async def measure_usage(pid: int, seconds: float) -> Usage:
     """Return the CPU time and memory of a process over the next ``seconds``."""
     process = psutil.Process(pid)
     loop = asyncio.get_running_loop()
--- a/scripts/slope_streams.py
+++ b/scripts/slope_streams.py
@@ -21,7 +21,7 @@
 
 from gooseberrydale.version.declarations import Profile, ProfileKind, Workspace
 from measure.fit import fit
-from measure.subject import Usage, watch
+from measure.subject import Usage, measure_usage
 from measure.workload import text
 from tests.fleet import Fleet, UpstreamSpec, key_digest
 
@@ -108,7 +108,7 @@
     await asyncio.sleep(WARM_S)
     count.events = count.answers = 0
     pids = [fleet.processes[name].pid for name in ROLES.values()]
-    usages = await asyncio.gather(*(watch(pid, WINDOW_S) for pid in pids))
+    usages = await asyncio.gather(*(measure_usage(pid, WINDOW_S) for pid in pids))
     seen = Count(count.events, count.answers, count.bad)
     for task in tasks:
         task.cancel()
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -17,9 +17,9 @@
 
 import fire
 
-from soak.field import Environment
+from soak.environment import Environment
+from soak.guarantees import Callers, find_violations
 from soak.plan import Fault, make_plan
-from soak.promises import Callers, find_violations
 from tests.callers import Load
 
 KNOWN_SEEDS_PATH = pathlib.Path(__file__).parent / "known_seeds.toml"
--- a/soak/promises.py
+++ b/soak/guarantees.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass, field
 
-from soak.field import BIDS, COMPLETIONS, KEY, Environment
+from soak.environment import BIDS, COMPLETIONS, KEY, Environment
 from tests.callers import Caller, Ending, nested_prompt
 from tests.fleet import wait_until
 
