--- a/gooseberrydale/process/operator_cli.py
+++ b/gooseberrydale/process/operator_cli.py
@@ -1,6 +1,8 @@
-"""The operators' commands, as classes for ``fire``; each lives for one command.
+"""The operators' commands, as classes for ``fire``.
 
-``OperatorCommands`` is mounted by the command line of the product::
+``fire`` derives commands and flags from the public names of these classes, and help
+texts from their docstrings.  ``OperatorCommands`` is part of the product's command
+line::
 
     gooseberrydale profile list --control http://10.0.0.1:8071 --token-file FILE
     gooseberrydale apply declarations.toml --wait
@@ -29,7 +31,7 @@
     OperatorExit,
     Options,
     Session,
-    names,
+    parse_names,
 )
 from gooseberrydale.version.declaration_file import Declarations, difference, load
 from gooseberrydale.version.declarations import Config, Profile, ProfileKind, Workspace
@@ -37,9 +39,10 @@
 from gooseberrydale.version.quotas.quota import Quota, QuotaUnit
 
 MIN_KEY_CHARS = 16
-# Fewer could also be what a mistyped digest was read as: 00000000 comes as "0".
+# fire reads a digest of decimal digits as a number and turns 00000000 into "0", a
+# prefix that the digests of other keys may have.
 MIN_DIGEST_CHARS = 8
-DIGEST_START = re.compile(f"[0-9a-f]{{{MIN_DIGEST_CHARS},64}}")
+DIGEST_PREFIX = re.compile(f"[0-9a-f]{{{MIN_DIGEST_CHARS},64}}")
 NEW_KEY_BYTES = 32
 PROFILE_COLUMNS = ("name", "kind", "pool", "model", "repeatable", "deadline_s")
 WORKSPACE_COLUMNS = ("name", "share", "profiles", "keys")
@@ -66,8 +69,8 @@
 )
 
 
-class _Group:
-    """Flags common to the commands of a group; see :class:`Options`."""
+class _CommandGroup:
+    """Base of the command groups: the shared flags, see :class:`Options`."""
 
     def __init__(
         self,
@@ -97,26 +100,26 @@
     def _list(self, path: str, key: str, columns: tuple[str, ...]) -> Command:
         async def act(session: Session) -> None:
             table = await session.get(path)
-            session.say(as_columns(table[key], columns), table)
+            session.print_result(as_columns(table[key], columns), table)
 
         return Command(self._options, act)
 
     def _show(self, path: str) -> Command:
         async def act(session: Session) -> None:
             table = await session.get(path)
-            session.say(as_fields(table), table)
+            session.print_result(as_fields(table), table)
 
         return Command(self._options, act)
 
-    def _edit(self, make: Callable[[Config], Edit]) -> Command:
+    def _edit(self, make_edit: Callable[[Config], Edit]) -> Command:
         async def act(session: Session) -> None:
             config = await session.config()
-            await session.change(config.revision, [make(config)])
+            await session.change(config.revision, [make_edit(config)])
 
         return Command(self._options, act)
 
 
-class ProfileCommands(_Group):
+class ProfileCommands(_CommandGroup):
     """List, show, apply and retire profiles."""
 
     def list(self) -> Command:
@@ -138,9 +141,9 @@
         deadline_s: float | None = None,
         waste_weight: float | None = None,
     ) -> Command:
-        """Create or change the profile NAME; what is not given stays as it is."""
+        """Create or change the profile NAME; only the given flags change it."""
         given = {
-            "kind": None if kind is None else _kind(kind),
+            "kind": None if kind is None else _parse_kind(kind),
             "pool": None if pool is None else str(pool),
             "model": None if model is None else str(model),
             "repeatable": repeatable,
@@ -149,21 +152,21 @@
             "waste_weight": None if waste_weight is None else float(waste_weight),
         }
         changes: dict[str, Any] = {k: v for k, v in given.items() if v is not None}
-        first = Profile(name=str(name), kind=ProfileKind.COMPLETION, pool="")
+        default = Profile(name=str(name), kind=ProfileKind.COMPLETION, pool="")
 
-        def make(config: Config) -> Edit:
-            profile = replace(config.profiles.get(str(name), first), **changes)
+        def make_edit(config: Config) -> Edit:
+            profile = replace(config.profiles.get(str(name), default), **changes)
             return Edit(EditKind.APPLY_PROFILE, profile=profile)
 
-        return self._edit(make)
+        return self._edit(make_edit)
 
     def retire(self, name: str) -> Command:
-        """Take the profile NAME away."""
+        """Retire the profile NAME."""
         return self._edit(lambda _: Edit(EditKind.RETIRE_PROFILE, str(name)))
 
 
-class WorkspaceCommands(_Group):
-    """List, show, apply and retire workspaces, and handle their API keys."""
+class WorkspaceCommands(_CommandGroup):
+    """List, show, apply and retire workspaces, and manage their API keys."""
 
     def list(self) -> Command:
         """Show all workspaces."""
@@ -171,7 +174,7 @@
         async def act(session: Session) -> None:
             table = await session.get("/v1/workspaces")
             rows = [w | {"keys": len(w["key_digests"])} for w in table["workspaces"]]
-            session.say(as_columns(rows, WORKSPACE_COLUMNS), table)
+            session.print_result(as_columns(rows, WORKSPACE_COLUMNS), table)
 
         return Command(self._options, act)
 
@@ -188,74 +191,77 @@
         quota_burst: float | None = None,
         quota_unit: str | None = None,
     ) -> Command:
-        """Create or change the workspace NAME; what is not given stays as it is.
+        """Create or change the workspace NAME; only the given flags change it.
 
-        A QUOTA_PER_S of 0 takes the quota away.  QUOTA_UNIT is requests or tokens.
+        A QUOTA_PER_S of 0 removes the quota.  QUOTA_UNIT is requests or tokens.
         """
         changes: dict[str, Any] = {}
         if share is not None:
             changes["share"] = float(share)
         if profiles is not None:
-            changes["profiles"] = names(profiles)
+            changes["profiles"] = parse_names(profiles)
         given = {
             "per_s": None if quota_per_s is None else float(quota_per_s),
             "burst": None if quota_burst is None else float(quota_burst),
-            "unit": None if quota_unit is None else _unit(quota_unit),
+            "unit": None if quota_unit is None else _parse_unit(quota_unit),
         }
         quota: dict[str, Any] = {k: v for k, v in given.items() if v is not None}
 
-        def make(config: Config) -> Edit:
-            known = config.workspaces.get(str(name), Workspace(name=str(name)))
-            workspace = replace(known, **changes)
+        def make_edit(config: Config) -> Edit:
+            current = config.workspaces.get(str(name), Workspace(name=str(name)))
+            workspace = replace(current, **changes)
             if quota:
-                changed = replace(known.quota or Quota(0.0, 0.0), **quota)
+                changed = replace(current.quota or Quota(0.0, 0.0), **quota)
                 workspace = replace(workspace, quota=changed if changed.per_s else None)
             return Edit(EditKind.APPLY_WORKSPACE, workspace=workspace)
 
-        return self._edit(make)
+        return self._edit(make_edit)
 
     def retire(self, name: str) -> Command:
-        """Take the workspace NAME away; its keys are refused from then on."""
+        """Retire the workspace NAME; its keys are refused from then on."""
         return self._edit(lambda _: Edit(EditKind.RETIRE_WORKSPACE, str(name)))
 
     def add_key(self, name: str, key_file: str = "") -> Command:
         """Add the API key in KEY_FILE ("-" for standard input) to the workspace NAME.
 
-        Without a file a new key is made and printed, this once: only its digest is
-        kept.  A key is not taken from the command line, which others can read.
+        Without a file a new key is generated and printed.  It can't be shown again, as
+        only its digest is stored.  A key can't be given as an argument, since other
+        users of the machine can see the arguments of a process.
         """
 
         async def act(session: Session) -> None:
             key = _read_key(key_file) if key_file else _new_key()
             digest = key_digest(key)
-            await _change_keys(session, str(name), lambda kept: (*kept, digest))
+            await _change_keys(session, str(name), lambda digests: (*digests, digest))
             if not key_file and not session.options.dry_run:
                 print(key)
 
         return Command(self._options, act)
 
     def remove_key(self, name: str, digest: str) -> Command:
-        """Take the key whose digest begins with DIGEST from the workspace NAME.
+        """Remove the key whose digest begins with DIGEST from the workspace NAME.
 
-        DIGEST has at least 8 digits; ``show`` prints it whole.
+        Give at least 8 digits of DIGEST; ``show`` prints whole digests.
         """
-        start = str(digest)
+        prefix = str(digest)
 
         async def act(session: Session) -> None:
-            await _change_keys(session, str(name), lambda kept: _without(kept, start))
+            await _change_keys(
+                session, str(name), lambda digests: _remove_digest(digests, prefix)
+            )
 
         return Command(self._options, act)
 
 
-class UpstreamCommands(_Group):
-    """List upstreams, take them out of service, and give them orders."""
+class UpstreamCommands(_CommandGroup):
+    """List upstreams, take them out of service, and place orders for them."""
 
     def list(self) -> Command:
-        """Show all upstreams that announce themselves or are marked as leaving."""
+        """Show all upstreams that are announced or marked as leaving."""
         return self._list("/v1/upstreams", "upstreams", UPSTREAM_COLUMNS)
 
     def leave(self, name: str, undo: bool = False) -> Command:
-        """Let the upstream NAME finish its work and take no more, or UNDO that."""
+        """Let the upstream NAME end its requests and take no new ones, or UNDO that."""
         kind = EditKind.UNMARK_LEAVING if undo else EditKind.MARK_LEAVING
         return self._edit(lambda _: Edit(kind, str(name)))
 
@@ -272,22 +278,25 @@
         return self._list("/v1/orders", "orders", ORDER_COLUMNS)
 
 
-class RequestCommands(_Group):
-    """List requests in quarantine, as they end their upstreams, and release them."""
+class RequestCommands(_CommandGroup):
+    """List and release quarantined requests, under which upstreams terminated."""
 
     def quarantined(self) -> Command:
-        """Show what is sent to no upstream, and how many have ended under it."""
+        """Show quarantined requests, and how many upstreams terminated under each.
+
+        A request in quarantine is sent to no upstream.
+        """
 
         async def act(session: Session) -> None:
             table = await session.get("/v1/quarantined")
-            found = table["quarantined"]
-            rows = [one | {"ended": len(one["ended"])} for one in found]
-            session.say(as_columns(rows, QUARANTINE_COLUMNS), table)
+            quarantined = table["quarantined"]
+            rows = [row | {"ended": len(row["ended"])} for row in quarantined]
+            session.print_result(as_columns(rows, QUARANTINE_COLUMNS), table)
 
         return Command(self._options, act)
 
     def release(self, digest: str) -> Command:
-        """Let the request with DIGEST run again, once its upstreams are mended."""
+        """Let the request with DIGEST run again, once the upstreams are repaired."""
 
         async def act(session: Session) -> None:
             await session.release(str(digest))
@@ -296,7 +305,7 @@
 
 
 class OperatorCommands:
-    """The operators' commands by name, to be inherited by the command line."""
+    """The operators' commands by name; the product's command line inherits them."""
 
     profile = ProfileCommands
     workspace = WorkspaceCommands
@@ -308,9 +317,9 @@
 
         async def act(session: Session) -> None:
             table = await session.get(f"/v1/audit?count={int(count)}")
-            session.say(as_columns(table["audit"], AUDIT_COLUMNS), table)
+            session.print_result(as_columns(table["audit"], AUDIT_COLUMNS), table)
 
-        return Command(_options(options), act)
+        return Command(_parse_options(options), act)
 
     def status(self, **options: Any) -> Command:
         """Show the revision in force at each process, and the control replicas."""
@@ -321,39 +330,39 @@
                 table = await session.wait(table["revision"])
             head = {k: v for k, v in table.items() if k != "processes"}
             rows = as_columns(table["processes"], PROCESS_COLUMNS)
-            session.say(f"{as_fields(head)}\n\n{rows}", table)
+            session.print_result(f"{as_fields(head)}\n\n{rows}", table)
 
-        return Command(_options(options), act)
+        return Command(_parse_options(options), act)
 
     def apply(self, file: str, retire: bool = False, **options: Any) -> Command:
-        """Show how FILE differs from what is in force, then make it so.
+        """Show how FILE differs from the declarations in force, then apply it.
 
-        With RETIRE, profiles and workspaces that FILE does not hold are retired.
+        With RETIRE, profiles and workspaces that are not in FILE are retired.
         """
 
         async def act(session: Session) -> None:
-            declared = _declared(Path(str(file)))
+            declared = _load_declarations(Path(str(file)))
             config = await session.config()
-            found = difference(config, declared, retire=retire)
-            if not found.edits:
-                session.say(f"no difference from revision {config.revision}")
+            changes = difference(config, declared, retire=retire)
+            if not changes.edits:
+                session.print_result(f"no difference from revision {config.revision}")
                 return
-            session.say("\n".join(found.lines))
-            await session.change(config.revision, found.edits)
+            session.print_result("\n".join(changes.lines))
+            await session.change(config.revision, changes.edits)
 
-        return Command(_options(options), act)
+        return Command(_parse_options(options), act)
 
 
-def _options(given: dict[str, Any]) -> Options:
-    known = {item.name for item in fields(Options)}
-    unknown = sorted(given.keys() - known)
+def _parse_options(given: dict[str, Any]) -> Options:
+    accepted = {item.name for item in fields(Options)}
+    unknown = sorted(given.keys() - accepted)
     if unknown:
-        text = f"there is no flag --{unknown[0]}; use {', '.join(sorted(known))}"
+        text = f"unknown flag --{unknown[0]}; use one of {', '.join(sorted(accepted))}"
         raise fire.core.FireError(text)
     return Options(**given)
 
 
-def _declared(path: Path) -> Declarations:
+def _load_declarations(path: Path) -> Declarations:
     match load(path):
         case Ok(declared):
             return declared
@@ -362,12 +371,12 @@
             raise CommandError(OperatorExit.USAGE, *lines)
 
 
-def _kind(value: str) -> ProfileKind:
+def _parse_kind(value: str) -> ProfileKind:
     try:
         return ProfileKind(str(value))
     except ValueError:
         listed = ", ".join(ProfileKind)
-        text = f"there is no kind {value!r}; write one of {listed}"
+        text = f"unknown profile kind {value!r}; use one of {listed}"
         raise fire.core.FireError(text) from None
 
 
@@ -379,33 +388,34 @@
     config = await session.config()
     workspace = config.workspaces.get(name)
     if workspace is None:
-        refused = problem(UNKNOWN_NAME, what="workspace", name=name)
-        raise CommandError(OperatorExit.REFUSED, refused.message)
+        refusal = problem(UNKNOWN_NAME, what="workspace", name=name)
+        raise CommandError(OperatorExit.REFUSED, refusal.message)
     digests = tuple(dict.fromkeys(change(workspace.key_digests)))
     changed = replace(workspace, key_digests=digests)
     edit = Edit(EditKind.APPLY_WORKSPACE, workspace=changed)
     await session.change(config.revision, [edit])
 
 
-def _without(digests: tuple[str, ...], start: str) -> tuple[str, ...]:
-    if DIGEST_START.fullmatch(start) is None:
+def _remove_digest(digests: tuple[str, ...], prefix: str) -> tuple[str, ...]:
+    if DIGEST_PREFIX.fullmatch(prefix) is None:
         reason = (
-            f"{start!r} is no digest; give at least {MIN_DIGEST_CHARS} digits of it"
+            f"{prefix!r} is not a digest prefix; give at least {MIN_DIGEST_CHARS}"
+            " hexadecimal digits"
         )
         raise CommandError(OperatorExit.USAGE, reason)
-    left = tuple(digest for digest in digests if not digest.startswith(start))
-    if left == digests:
-        refused = problem(UNKNOWN_NAME, what="key", name=start)
-        raise CommandError(OperatorExit.REFUSED, refused.message)
-    return left
+    remaining = tuple(digest for digest in digests if not digest.startswith(prefix))
+    if remaining == digests:
+        refusal = problem(UNKNOWN_NAME, what="key", name=prefix)
+        raise CommandError(OperatorExit.REFUSED, refusal.message)
+    return remaining
 
 
-def _unit(text: str) -> QuotaUnit:
+def _parse_unit(text: str) -> QuotaUnit:
     try:
         return QuotaUnit(text)
     except ValueError:
         listed = " or ".join(QuotaUnit)
-        reason = f"{text!r} is no unit of a quota; use {listed}"
+        reason = f"unknown quota unit {text!r}; use {listed}"
         raise CommandError(OperatorExit.USAGE, reason) from None
 
 
@@ -421,6 +431,8 @@
         raise CommandError(OperatorExit.USAGE, reason)
     key = text.strip()
     if len(key) < MIN_KEY_CHARS:
-        reason = f"the key has under {MIN_KEY_CHARS} characters; use a random one"
+        reason = (
+            f"the key has under {MIN_KEY_CHARS} characters; use a longer, random one"
+        )
         raise CommandError(OperatorExit.USAGE, reason)
     return key
--- a/gooseberrydale/process/operator_client.py
+++ b/gooseberrydale/process/operator_client.py
@@ -1,8 +1,9 @@
-"""Client of the operators' interface; lives for one command.
+"""HTTP client of the control replicas, for the operators' commands.
 
-It asks the control replicas one after the other, until one answers that can: one
-that can't be reached or does not lead is passed over.  Changes may be sent to
-several replicas without harm, since each carries its change id.
+Each command has a client of its own.  It tries the replicas one after the other and
+skips those that can't be reached, are not the leader, have no quorum or are shutting
+down.  A change can safely be sent to several replicas, since control applies each
+change id once.
 """
 
 from __future__ import annotations
@@ -28,14 +29,18 @@
     problem,
 )
 
-PASSING_CODES = (NOT_LEADER.code, NO_QUORUM.code, SHUTTING_DOWN.code)
-RETRY_S = 0.2
+# After these errors another replica may still be able to answer.
+TRY_NEXT_CODES = (NOT_LEADER.code, NO_QUORUM.code, SHUTTING_DOWN.code)
+RETRY_INTERVAL_S = 0.2
 CALL_TIMEOUT_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """Where control is and how to get in; ``timeout_s`` bounds each request."""
+    """The control replicas to call, and the credentials for them.
+
+    ``timeout_s`` bounds each request, including its retries at other replicas.
+    """
 
     urls: Sequence[str]
     token: str
@@ -44,7 +49,7 @@
 
 
 class OperatorClient:
-    """Requests to the operators' interface of any replica."""
+    """Sends requests to the first replica whose operators' interface can answer."""
 
     def __init__(self, target: Target) -> None:
         self._target = target
@@ -52,19 +57,26 @@
         self._ssl = _ssl_context(target.ca_file)
 
     async def get(self, path: str) -> Result[Any, Problem]:
-        """Return the table at ``path``, from the leader if there is one."""
-        result = await self._ask_each("GET", _from_leader(path), None)
-        if result.is_ok() or not _is_passing(result.unwrap_err()):
+        """Return the JSON object at ``path``.
+
+        Prefers the leader; if none answers, another replica returns what it has, which
+        may be outdated.
+        """
+        result = await self._try_each_replica("GET", _from_leader(path), None)
+        if result.is_ok() or not _may_try_next(result.unwrap_err()):
             return result
-        return await self._ask("GET", path, None)
+        return await self._request_until_deadline("GET", path, None)
 
     async def get_from_leader(self, path: str) -> Result[Any, Problem]:
-        """Return the table at ``path`` from the leader: a change builds on it."""
-        return await self._ask("GET", _from_leader(path), None)
+        """Return the JSON object at ``path`` from the leader.
+
+        For data that a change is based on, as other replicas may be behind.
+        """
+        return await self._request_until_deadline("GET", _from_leader(path), None)
 
     async def post(self, path: str, body: Any) -> Result[Any, Problem]:
-        """Send ``body`` as JSON and return the table that comes back."""
-        return await self._ask("POST", path, body)
+        """Send ``body`` as JSON and return the JSON object of the response."""
+        return await self._request_until_deadline("POST", path, body)
 
     async def __aenter__(self) -> OperatorClient:
         await self._http.__aenter__()
@@ -73,20 +85,22 @@
     async def __aexit__(self, *exc_info: object) -> None:
         await self._http.__aexit__(*exc_info)
 
-    async def _ask(self, method: str, path: str, body: Any) -> Result[Any, Problem]:
+    async def _request_until_deadline(
+        self, method: str, path: str, body: Any
+    ) -> Result[Any, Problem]:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._target.timeout_s
         while True:
-            result = await self._ask_each(method, path, body)
-            passing = result.is_err() and _is_passing(result.unwrap_err())
-            if not passing or loop.time() + RETRY_S >= deadline:
+            result = await self._try_each_replica(method, path, body)
+            may_retry = result.is_err() and _may_try_next(result.unwrap_err())
+            if not may_retry or loop.time() + RETRY_INTERVAL_S >= deadline:
                 return result
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
-    async def _ask_each(
+    async def _try_each_replica(
         self, method: str, path: str, body: Any
     ) -> Result[Any, Problem]:
-        result: Result[Any, Problem] = Err(_unreachable("none is listed"))
+        result: Result[Any, Problem] = Err(_unreachable("no address is given"))
         for url in self._target.urls:
             try:
                 result = await self._call(method, url.rstrip("/") + path, body)
@@ -94,7 +108,7 @@
                 if result.is_err() and _is_unreachable(result.unwrap_err()):
                     result = Err(_unreachable(f"{url}: {_reason(exc)}"))
                 continue
-            if result.is_ok() or not _is_passing(result.unwrap_err()):
+            if result.is_ok() or not _may_try_next(result.unwrap_err()):
                 return result
         return result
 
@@ -118,19 +132,19 @@
                 return Ok(msgspec.json.decode(content))
             return Err(msgspec.json.decode(content, type=Problem))
         except msgspec.MsgspecError:
-            return Err(_unreachable(f"{url}: no answer of control"))
+            return Err(_unreachable(f"{url}: the response is not from control"))
 
 
 def _from_leader(path: str) -> str:
     return f"{path}{'&' if '?' in path else '?'}from=leader"
 
 
-def _is_passing(refused: Problem) -> bool:
-    return refused.code in PASSING_CODES or _is_unreachable(refused)
+def _may_try_next(refusal: Problem) -> bool:
+    return refusal.code in TRY_NEXT_CODES or _is_unreachable(refusal)
 
 
-def _is_unreachable(refused: Problem) -> bool:
-    return refused.code == CONTROL_UNREACHABLE.code
+def _is_unreachable(refusal: Problem) -> bool:
+    return refusal.code == CONTROL_UNREACHABLE.code
 
 
 def _unreachable(reason: str) -> Problem:
--- a/gooseberrydale/process/operator_output.py
+++ b/gooseberrydale/process/operator_output.py
@@ -1,4 +1,4 @@
-"""Shows operators tables: in columns for people, as JSON for programs."""
+"""Formats what operators' commands print: columns for people, JSON for programs."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import msgspec
 
-GAP = "  "
+COLUMN_SEPARATOR = "  "
 
 
 def as_json(value: Any) -> str:
@@ -16,24 +16,26 @@
 
 
 def as_columns(rows: Sequence[dict[str, Any]], names: Sequence[str]) -> str:
-    """Return ``rows`` under the headings ``names``, padded into columns."""
+    """Return the fields ``names`` of ``rows`` as padded columns with headings."""
     lines = [[name.upper() for name in names]]
     lines += [[as_cell(row.get(name)) for name in names] for row in rows]
     widths = [max(len(line[i]) for line in lines) for i in range(len(names))]
     return "\n".join(
-        GAP.join(cell.ljust(width) for cell, width in zip(line, widths)).rstrip()
+        COLUMN_SEPARATOR.join(
+            cell.ljust(width) for cell, width in zip(line, widths)
+        ).rstrip()
         for line in lines
     )
 
 
 def as_fields(table: dict[str, Any]) -> str:
-    """Return one thing as a line for each of its fields."""
+    """Return the fields of one object, a line each."""
     width = max((len(name) for name in table), default=0)
     return "\n".join(f"{name.ljust(width)}  {as_cell(v)}" for name, v in table.items())
 
 
 def as_cell(value: Any) -> str:
-    """Return ``value`` as it stands in a column."""
+    """Return ``value`` as text for one cell of a column."""
     match value:
         case None | "" | []:
             return "-"
--- a/gooseberrydale/process/operator_session.py
+++ b/gooseberrydale/process/operator_session.py
@@ -1,6 +1,7 @@
 """What all operators' commands share: options, changes, waiting, exit codes.
 
-Lives for one command.
+A command returns a :class:`Command`; once its arguments have been checked, it is run
+with a :class:`Session`, which talks to control and prints the results.
 """
 
 from __future__ import annotations
@@ -31,14 +32,19 @@
 
 CONTROL_VARIABLE = "GOOSEBERRYDALE_CONTROL"
 TOKEN_FILE_VARIABLE = "GOOSEBERRYDALE_TOKEN_FILE"
-POLL_S = 0.2
+POLL_INTERVAL_S = 0.2
 CHANGE_ID_BYTES = 8
 NO_ANSWER_CODES = (CONTROL_UNREACHABLE.code, NO_QUORUM.code, NOT_LEADER.code)
 PROCESS_COLUMNS = ("role", "name", "zone", "revision", "behind", "heard_s_ago")
 
 
 class OperatorExit(IntEnum):
-    """What the exit code of an operators' command says."""
+    """Exit codes of the operators' commands.
+
+    REFUSED: control refused the command, or it names an unknown object.  USAGE: an
+    argument, setting or file is invalid.  NO_ANSWER: no replica could answer.
+    NOT_IN_FORCE: a change is committed, but not in force at every process in time.
+    """
 
     OK = 0
     REFUSED = 1
@@ -49,7 +55,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """Flags that every operators' command takes; times are seconds."""
+    """Flags that all operators' commands share.
+
+    ``control`` lists the URLs of the replicas.  ``base`` is the revision that a change
+    is based on, by default the newest.  ``change_id`` identifies a change, so that it
+    can be sent again without being applied twice.  ``timeout_s`` bounds each request,
+    and the wait for a revision to be in force.
+    """
 
     control: Any = ""
     token_file: str = ""
@@ -63,7 +75,7 @@
 
 
 class CommandError(Exception):
-    """Ends a command with ``code`` after its lines went to standard error."""
+    """Ends a command with exit code ``code``; ``lines`` go to standard error."""
 
     def __init__(self, code: OperatorExit, *lines: str) -> None:
         super().__init__("\n".join(lines))
@@ -72,23 +84,26 @@
 
 
 class Session:
-    """One command's dealings with control."""
+    """Sends the requests of one command to control and prints the results."""
 
     def __init__(self, options: Options, client: OperatorClient) -> None:
         self.options = options
         self._client = client
 
     async def get(self, path: str) -> Any:
-        """Return the table at ``path``; ends the command on a refusal."""
-        return _or_fail(await self._client.get(path))
+        """Return the JSON object at ``path``; raises CommandError on a refusal."""
+        return _unwrap(await self._client.get(path))
 
     async def config(self) -> Config:
-        """Read the newest committed declarations."""
-        table = _or_fail(await self._client.get_from_leader("/v1/config"))
-        return to_config(table)
+        """Return the newest committed declarations, from the leader."""
+        table = _unwrap(await self._client.get_from_leader("/v1/config"))
+        return parse_config(table)
 
     async def change(self, base: int, edits: Sequence[Edit]) -> None:
-        """Send one change, say what came of it, and wait if that was asked for."""
+        """Send one change and print its revision; with ``--wait``, wait for it.
+
+        ``base`` is the revision that ``edits`` were made from.
+        """
         change_id = self.options.change_id or secrets.token_hex(CHANGE_ID_BYTES)
         body = {
             "change_id": change_id,
@@ -99,14 +114,16 @@
         reply = await self._send("/v1/changes", body)
         revision = reply["revision"]
         if self.options.dry_run:
-            self.say(f"would become revision {revision}", reply)
+            self.print_result(f"would become revision {revision}", reply)
             return
-        self.say(f"revision {revision} committed", reply | {"change_id": change_id})
+        self.print_result(
+            f"revision {revision} committed", reply | {"change_id": change_id}
+        )
         if self.options.wait:
             await self.wait(revision)
 
     async def order(self, upstream: str, kind: str, model: str, version: str) -> None:
-        """Place one order and show it."""
+        """Place an order for an upstream and print it."""
         body = {
             "change_id": self.options.change_id or secrets.token_hex(CHANGE_ID_BYTES),
             "upstream": upstream,
@@ -115,30 +132,35 @@
             "version": version,
         }
         reply = await self._send("/v1/orders", body)
-        self.say(f"order {reply['order']['order_id']} placed", reply)
+        self.print_result(f"order {reply['order']['order_id']} placed", reply)
 
     async def release(self, digest: str) -> None:
         """Let a quarantined request run again."""
-        reply = _or_fail(
+        reply = _unwrap(
             await self._client.post("/v1/quarantined/release", {"digest": digest})
         )
-        self.say(f"{reply['released']} may run again", reply)
+        self.print_result(f"{reply['released']} may run again", reply)
 
     async def wait(self, revision: int) -> Any:
-        """Return the status once ``revision`` is in force at every known process."""
+        """Return the status once ``revision`` is in force at every process.
+
+        Raises CommandError with NOT_IN_FORCE after ``timeout_s``.
+        """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.options.timeout_s
         while True:
             status = await self.get("/v1/status")
             if status["revision"] >= revision and status["in_force_everywhere"]:
-                self.say(f"revision {revision} in force everywhere")
+                self.print_result(f"revision {revision} in force everywhere")
                 return status
-            if loop.time() + POLL_S >= deadline:
-                raise CommandError(OperatorExit.NOT_IN_FORCE, *_late_lines(status))
-            await asyncio.sleep(POLL_S)
-
-    def say(self, text: str, table: Any = None) -> None:
-        """Print ``text``, or with ``--json`` the ``table`` if there is one."""
+            if loop.time() + POLL_INTERVAL_S >= deadline:
+                raise CommandError(
+                    OperatorExit.NOT_IN_FORCE, *_describe_not_in_force(status)
+                )
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def print_result(self, text: str, table: Any = None) -> None:
+        """Print ``text``; with ``--json``, print ``table`` instead if there is one."""
         if not self.options.json:
             print(text)
         elif table is not None:
@@ -147,27 +169,31 @@
     async def _send(self, path: str, body: dict[str, Any]) -> dict[str, Any]:
         result = await self._client.post(path, body)
         if result.is_err() and result.unwrap_err().code in NO_ANSWER_CODES:
-            refused = result.unwrap_err().message
+            refusal = result.unwrap_err().message
             hint = f"pass --change-id {body['change_id']} to send the same change again"
-            raise CommandError(OperatorExit.NO_ANSWER, refused, hint)
-        table: dict[str, Any] = _or_fail(result)
+            raise CommandError(OperatorExit.NO_ANSWER, refusal, hint)
+        table: dict[str, Any] = _unwrap(result)
         return table
 
 
 @dataclass(frozen=True, slots=True)
 class Command:
-    """A command whose arguments are read but which has done nothing yet."""
+    """A parsed command; ``act`` carries it out in a session.
+
+    Nothing is sent to control before that.
+    """
 
     options: Options
     act: Callable[[Session], Awaitable[None]]
 
 
 def finish(result: Any) -> Any:
-    """Carry out a command, once fire has found no fault in its arguments.
+    """Carry out the command that a fire component returned.
 
-    To be passed to fire as ``serialize``: were the commands to act at once, a
-    mistyped ``--dry-run`` would be noticed only after the change.  Exits the
-    process unless all went well.
+    Pass this to fire as ``serialize``, which is called after all arguments have been
+    accepted.  If the commands acted as soon as fire called them, a mistyped
+    ``--dry-run`` would be reported only after the change was made.  Exits the process
+    with the command's code if it fails.
     """
     if not isinstance(result, Command):
         return result
@@ -185,8 +211,8 @@
         await command.act(Session(command.options, client))
 
 
-def to_config(table: dict[str, Any]) -> Config:
-    """Read the answer of ``GET /v1/config``."""
+def parse_config(table: dict[str, Any]) -> Config:
+    """Return the declarations in a response to ``GET /v1/config``."""
     profiles = msgspec.convert(table["profiles"], list[Profile])
     workspaces = msgspec.convert(table["workspaces"], list[Workspace])
     return Config(
@@ -197,15 +223,15 @@
     )
 
 
-def names(value: Any) -> tuple[str, ...]:
-    """Read a flag that lists names; fire makes a tuple of ``a,b``."""
+def parse_names(value: Any) -> tuple[str, ...]:
+    """Return the names in a flag's value; fire turns ``a,b`` into a tuple."""
     if isinstance(value, list | tuple):
         return tuple(str(item).strip() for item in value)
-    return tuple(part.strip() for part in str(value).split(",") if part.strip())
+    return tuple(name.strip() for name in str(value).split(",") if name.strip())
 
 
 def _target(options: Options) -> Target:
-    urls = names(options.control or os.environ.get(CONTROL_VARIABLE, ""))
+    urls = parse_names(options.control or os.environ.get(CONTROL_VARIABLE, ""))
     if not urls:
         remedy = f"pass --control URL[,URL...] or set {CONTROL_VARIABLE}"
         raise CommandError(OperatorExit.USAGE, f"no control replica is given; {remedy}")
@@ -225,23 +251,29 @@
         raise CommandError(OperatorExit.USAGE, text) from exc
 
 
-def _or_fail(result: Any) -> Any:
+def _unwrap(result: Any) -> Any:
     match result:
         case Ok(table):
             return table
-        case Err(refused):
-            raise CommandError(_exit_code(refused), refused.message)
+        case Err(refusal):
+            raise CommandError(_exit_code(refusal), refusal.message)
 
 
-def _exit_code(refused: Problem) -> OperatorExit:
-    if refused.code in NO_ANSWER_CODES:
+def _exit_code(refusal: Problem) -> OperatorExit:
+    if refusal.code in NO_ANSWER_CODES:
         return OperatorExit.NO_ANSWER
     return OperatorExit.REFUSED
 
 
-def _late_lines(status: dict[str, Any]) -> tuple[str, ...]:
+def _describe_not_in_force(status: dict[str, Any]) -> tuple[str, ...]:
     behind = [process for process in status["processes"] if process["behind"]]
     text = f"revision {status['revision']} is committed but not in force everywhere"
     if not behind:
-        return (f"{text}: control has not heard all processes yet; ask again",)
-    return (f"{text}; look after these processes:", as_columns(behind, PROCESS_COLUMNS))
+        return (
+            f"{text}: some processes have not reported to control yet;"
+            " check again with the status command",
+        )
+    return (
+        f"{text}; these processes are behind, check them:",
+        as_columns(behind, PROCESS_COLUMNS),
+    )
--- a/gooseberrydale/process/quota_charge.py
+++ b/gooseberrydale/process/quota_charge.py
@@ -1,7 +1,8 @@
-"""What one request has spent of its workspace's quota.
+"""Charges one request to the quota of its workspace.
 
-Lives for one request.  It is admitted once, before anything is sent; each send that may
-have run counts, and what was admitted and not sent is given back.
+There is one ``QuotaCharge`` per request.  Admission pays for the first send in advance;
+each further send that may have run is charged as well, and a send that was paid for but
+not made is refunded.
 """
 
 from __future__ import annotations
@@ -14,58 +15,61 @@
 
 
 class QuotaCharge:
-    """The charges of a request that wants ``want``; without a quota it does nothing."""
+    """Charges one request to a quota; does nothing if ``demand`` is None.
 
-    def __init__(self, client: QuotaClient, want: Want | None) -> None:
+    ``_is_prepaid`` is set while one send is paid for that has not been made.
+    """
+
+    def __init__(self, client: QuotaClient, demand: Want | None) -> None:
         self._client = client
-        self._want = want
-        self._unused = False
+        self._demand = demand
+        self._is_prepaid = False
 
     @property
     def workspace(self) -> str:
-        """The workspace that pays; empty without a quota."""
-        return "" if self._want is None else self._want.workspace
+        """The workspace whose quota is charged; empty without a quota."""
+        return "" if self._demand is None else self._demand.workspace
 
     @property
     def cost(self) -> int:
-        """What one send counts."""
-        return 0 if self._want is None else self._want.cost
+        """The cost of one send, in the unit of the quota; 0 without a quota."""
+        return 0 if self._demand is None else self._demand.cost
 
     async def admit(self) -> OverQuota | None:
-        """Spend one send in advance; if that can't be, says when it can."""
-        if self._want is None:
+        """Pay for one send in advance, or return a refusal that says when to retry."""
+        if self._demand is None:
             return None
-        refused = await self._client.admit(self._want)
-        self._unused = refused is None
-        return refused
+        refusal = await self._client.admit(self._demand)
+        self._is_prepaid = refusal is None
+        return refusal
 
     def sent(self) -> None:
-        """The request was sent to an upstream, which may run it."""
-        if self._unused:
-            self._unused = False
-        elif self._want is not None:
-            self._client.spend(self._want.workspace, self._want.cost)
+        """Charge a send to an upstream that may run the request."""
+        if self._is_prepaid:
+            self._is_prepaid = False
+        elif self._demand is not None:
+            self._client.spend(self._demand.workspace, self._demand.cost)
 
     def not_run(self) -> None:
-        """The upstream that got it last is known not to run it."""
-        if self._want is None:
+        """Keep the payment for the next send, as the upstream did not run this one."""
+        if self._demand is None:
             return
-        if self._unused:
-            self._give_back(self._want)
-        self._unused = True
+        if self._is_prepaid:
+            self._refund(self._demand)
+        self._is_prepaid = True
 
     def close(self) -> None:
-        """No send follows; what was admitted and not sent is given back."""
-        if self._unused and self._want is not None:
-            self._give_back(self._want)
-        self._unused = False
+        """Refund a send that was paid for and not made; no send follows."""
+        if self._is_prepaid and self._demand is not None:
+            self._refund(self._demand)
+        self._is_prepaid = False
 
-    def _give_back(self, want: Want) -> None:
-        self._client.spend(want.workspace, -want.cost)
+    def _refund(self, demand: Want) -> None:
+        self._client.spend(demand.workspace, -demand.cost)
 
 
 def refusal_of(request_id: str, charge: QuotaCharge, over: OverQuota) -> Problem:
-    """The refusal of a request that is over its quota, which is logged as well."""
+    """Log that a request is over its quota, and return the error for its caller."""
     emit(
         QuotaRefused(
             request_id=request_id,
--- a/gooseberrydale/process/quota_client.py
+++ b/gooseberrydale/process/quota_client.py
@@ -1,7 +1,10 @@
-"""Spends the quotas of workspaces at this gateway, and owns the count of some of them.
+"""Enforces workspace quotas at this gateway, together with the other gateways.
 
-Lives as long as the process.  The decisions are in ``version/quotas``; this carries
-messages between gateways, waits for verdicts and repeats what may be lost.
+There is one client per process.  It admits requests, reports what the gateway has
+spent to the gateways that own a workspace's count, and answers reports and asks for
+the workspaces that this gateway owns.  The decisions are in ``version/quotas``; this
+module exchanges the messages, waits for verdicts and repeats messages that may have
+been lost.
 """
 
 from __future__ import annotations
@@ -29,53 +32,63 @@
 
 T = TypeVar("T")
 
-GATHER_S = 0.1
-"""Spending within this time shares a report to the owner that decides."""
+REPORT_DELAY_S = 0.1
+"""Spending is collected for this long before the deciding owner gets one report."""
 
-GATHER_SHORT_S = 0.05
-"""While a quota is short both owners get reports sooner, so that either can decide."""
+REPORT_DELAY_WHEN_SHORT_S = 0.05
+"""While a quota is short, both owners get reports sooner, so that either can decide."""
 
-GATHER_SPARE_S = 1.0
-"""The other owner gets reports later while much is left: nothing hangs on it yet."""
+FALLBACK_REPORT_DELAY_S = 1.0
+"""Delay of reports to the fallback owner while much of the quota is left: its count
+need not be current as long as it has nothing to decide."""
 
-KEEP_S = 0.3
-"""Between two reports while a quota is short."""
+REPORT_INTERVAL_WHEN_SHORT_S = 0.3
+"""Reports are repeated at this interval while a quota is short."""
 
-ASK_AGAIN_S = 0.04
-ASK_S = 0.12
-SUSPECT_S = 1.0
-"""An owner that left an ask unanswered is passed over for so long."""
+ASK_RESEND_S = 0.04
+"""An unanswered ask is sent once more after this time."""
 
-SETTLE_S = 5.0
-"""A process that knows no other gateway this soon after its start can't be the owner:
-it may just not have heard of them."""
+ASK_TIMEOUT_S = 0.12
+"""An owner that has not answered an ask by now counts as unreachable."""
 
-UNSETTLED_SHARE = 0.1
+OWNER_SKIP_S = 1.0
+"""An owner that left an ask unanswered is not asked again for this long."""
 
-SPREAD_PART = 0.2
-SPREAD_S = 0.25
-"""Callers refused at one moment return within this time after their turn, or that
-part of their wait, so that they don't arrive at once."""
+STARTUP_GRACE_S = 5.0
+"""For this long after its start, a process that sees no other gateway must not act as
+an owner: the announcements of the others may not have arrived yet."""
 
-LEAST_AFTER_S = 0.05
+STARTUP_SHARE = 0.1
+"""Share of a quota's rate that a gateway may use at least, while it can't yet tell how
+many other gateways there are."""
+
+JITTER_FRACTION = 0.2
+MAX_JITTER_S = 0.25
+"""Random delay added to a refused caller's retry slot: at most this time, and at most
+JITTER_FRACTION of the time until the slot.  Without it, callers that were refused
+together would retry at the same moment."""
+
+MIN_RETRY_AFTER_S = 0.05
+"""No caller is asked to retry sooner than this."""
 
 
 class Transport(Protocol):
-    """What carries messages to other gateways, each at most once."""
+    """Carries messages between gateways; each is delivered at most once."""
 
     def on(self, kind: type[T], handler: Callable[[T], None]) -> None:
-        """Hand messages of ``kind`` to ``handler``."""
+        """Call ``handler`` with each received message of type ``kind``."""
 
     def send(self, message: object, peers: Iterable[GatewayPeer]) -> None:
-        """Send a message once, come what may."""
+        """Send a message once to each of ``peers``; failures are not reported."""
 
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """A request that counts ``cost`` of a workspace's quota.
+    """A request's demand on the quota of its workspace.
 
-    ``request`` names it, the same for each repeat; its caller would wait ``patience_s``
-    at most before it returns.
+    ``cost`` is in the unit of the quota.  ``rank`` is the request's priority, 0 the
+    most urgent.  ``request`` identifies the request and is the same for each retry; its
+    caller waits ``wait_limit_s`` at most before a retry.
     """
 
     workspace: str
@@ -88,9 +101,11 @@
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """A request is refused: when to return, what was left and how old that is.
+    """The refusal of a request that is over its workspace's quota.
 
-    ``owner`` is the gateway that decided, this one if no owner answered.
+    The caller may retry after ``retry_after_s``.  ``left`` is what was left of the
+    quota ``age_s`` ago.  ``owner`` is the gateway that decided: this one if no owner
+    answered.
     """
 
     after_s: float
@@ -100,10 +115,11 @@
 
 
 class QuotaClient:
-    """``admit`` each request of a workspace with a quota before it is sent.
+    """Decides whether requests of workspaces with a quota may be sent.
 
-    ``is_listed`` says that the fleet is a list that all know from the start, in place
-    of what was heard so far.
+    Each such request has to pass ``admit`` before it is sent for the first time.
+    ``has_static_fleet`` is set if the fleet is a configured list, which is complete
+    from the start, instead of the gateways whose announcements have arrived so far.
     """
 
     def __init__(
@@ -126,78 +142,91 @@
         self._is_listed = is_listed
         self._accounts: dict[str, Account] = {}
         self._owners = Owners()
-        self._known_fleet: Fleet | None = None
-        self._counting: Counting | None = None
+        self._last_fleet: Fleet | None = None
+        self._ledgers: Counting | None = None
         self._started_at = 0.0
-        self._suspects: dict[str, float] = {}
+        self._skipped_until: dict[str, float] = {}
         self._seqs: Iterator[int] = itertools.count(1)
-        self._waiting: dict[int, asyncio.Future[QuotaVerdict]] = {}
+        self._pending_asks: dict[int, asyncio.Future[QuotaVerdict]] = {}
         self._unreported: set[str] = set()
-        self._spare_unreported: set[str] = set()
-        self._due: asyncio.TimerHandle | None = None
-        self._spare_due: asyncio.TimerHandle | None = None
-        self._task: asyncio.Task[None] | None = None
-        transport.on(QuotaReport, self._hear_report)
-        transport.on(QuotaLevels, self._hear_levels)
-        transport.on(QuotaAsk, self._hear_ask)
-        transport.on(QuotaVerdict, self._hear_verdict)
+        self._fallback_unreported: set[str] = set()
+        self._report_timer: asyncio.TimerHandle | None = None
+        self._fallback_report_timer: asyncio.TimerHandle | None = None
+        self._repeat_task: asyncio.Task[None] | None = None
+        transport.on(QuotaReport, self._on_report)
+        transport.on(QuotaLevels, self._on_levels)
+        transport.on(QuotaAsk, self._on_ask)
+        transport.on(QuotaVerdict, self._on_verdict)
 
     def spent(self, workspace: str) -> int:
-        """What this gateway has spent for a workspace since it started."""
+        """Return what this gateway has spent for a workspace since it started."""
         account = self._accounts.get(workspace)
         return 0 if account is None else account.spent
 
     async def start(self) -> None:
-        """Begin to report and to count; messages can be sent."""
+        """Start reporting and counting; the transport must be ready to send."""
         self._started_at = _now()
-        self._counting = Counting(self._name, self._quotas, self._started_at)
-        self._task = asyncio.create_task(self._repeat())
+        self._ledgers = Counting(self._name, self._quotas, self._started_at)
+        self._repeat_task = asyncio.create_task(self._send_periodically())
 
     async def close(self) -> None:
         """Stop reporting."""
-        for timer in (self._due, self._spare_due):
+        for timer in (self._report_timer, self._fallback_report_timer):
             if timer is not None:
                 timer.cancel()
-        if self._task is not None:
-            self._task.cancel()
-            await asyncio.gather(self._task, return_exceptions=True)
+        if self._repeat_task is not None:
+            self._repeat_task.cancel()
+            await asyncio.gather(self._repeat_task, return_exceptions=True)
 
-    async def admit(self, want: Want) -> OverQuota | None:
-        """Spend what a request counts; if that can't be, says when it can."""
-        if not want.cost:
+    async def admit(self, demand: Want) -> OverQuota | None:
+        """Spend the cost of a request, or return a refusal that says when to retry."""
+        if not demand.cost:
             return None
-        account = self._account(want.workspace)
-        if account.may_spend(want.cost, want.quota, _now()):
-            self.spend(want.workspace, want.cost)
+        account = self._account(demand.workspace)
+        if account.may_spend(demand.cost, demand.quota, _now()):
+            self.spend(demand.workspace, demand.cost)
             return None
-        verdict = await self._ask(account, want)
+        verdict = await self._ask(account, demand)
         if verdict is None:
-            return self._spend_own(account, want)
+            return self._spend_own_share(account, demand)
         if verdict.granted:
-            # The owner that granted it has counted it.
-            account.spend(want.cost, _now())
-            self._report_spare_soon(account)
+            # The owner counted the cost when it granted the request.
+            account.spend(demand.cost, _now())
+            self._schedule_fallback_report(account)
             return None
-        return self._refuse(verdict.after_s, account, want, verdict.owner)
+        return self._refuse(verdict.after_s, account, demand, verdict.owner)
 
     def spend(self, workspace: str, cost: int) -> None:
-        """A request is sent, again maybe; below 0 if a send turned out not to run."""
+        """Record the cost of sending a request, for each time that it is sent.
+
+        A negative ``cost`` refunds a send that did not run.
+        """
         account = self._account(workspace)
         account.spend(cost, _now())
         self._unreported.add(workspace)
-        if self._due is None:
-            gather_s = GATHER_SHORT_S if account.is_short(_now()) else GATHER_S
+        if self._report_timer is None:
+            delay_s = (
+                REPORT_DELAY_WHEN_SHORT_S
+                if account.is_short(_now())
+                else REPORT_DELAY_S
+            )
             loop = asyncio.get_running_loop()
-            self._due = loop.call_later(gather_s, self._report)
-        self._report_spare_soon(account)
-
-    def _report_spare_soon(self, account: Account) -> None:
-        """Report to the owner that does not decide; soon if it may have to."""
-        self._spare_unreported.add(account.workspace)
-        if self._spare_due is None:
-            gather_s = GATHER_SHORT_S if account.is_short(_now()) else GATHER_SPARE_S
+            self._report_timer = loop.call_later(delay_s, self._send_report)
+        self._schedule_fallback_report(account)
+
+    def _schedule_fallback_report(self, account: Account) -> None:
+        """Schedule a report to the fallback owner, sooner while the quota is short."""
+        self._fallback_unreported.add(account.workspace)
+        if self._fallback_report_timer is None:
+            delay_s = (
+                REPORT_DELAY_WHEN_SHORT_S
+                if account.is_short(_now())
+                else FALLBACK_REPORT_DELAY_S
+            )
             loop = asyncio.get_running_loop()
-            self._spare_due = loop.call_later(gather_s, self._report_spare)
+            self._fallback_report_timer = loop.call_later(
+                delay_s, self._send_fallback_report
+            )
 
     def _account(self, workspace: str) -> Account:
         account = self._accounts.get(workspace)
@@ -205,39 +234,44 @@
             account = self._accounts[workspace] = Account(workspace)
         return account
 
-    def _spend_own(self, account: Account, want: Want) -> OverQuota | None:
-        """No owner answers: go on with the own share of the rate."""
-        least_share = 1.0 / max(1, len(self._owners))
-        if not self._is_settled():
-            least_share = UNSETTLED_SHARE
-        after_s = account.may_spend_own(want.quota, least_share, _now())
+    def _spend_own_share(self, account: Account, demand: Want) -> OverQuota | None:
+        """Spend from this gateway's own share of the rate, as no owner answers."""
+        min_share = 1.0 / max(1, len(self._owners))
+        if not self._is_fleet_known():
+            min_share = STARTUP_SHARE
+        after_s = account.may_spend_own(demand.quota, min_share, _now())
         if after_s > 0.0:
-            return self._refuse(after_s, account, want, self._name)
-        account.spend_own(want.cost)
-        self.spend(want.workspace, want.cost)
+            return self._refuse(after_s, account, demand, self._name)
+        account.spend_own(demand.cost)
+        self.spend(demand.workspace, demand.cost)
         return None
 
     def _refuse(
-        self, turn_s: float, account: Account, want: Want, owner: str
+        self, slot_s: float, account: Account, demand: Want, owner: str
     ) -> OverQuota:
-        """A refusal until the turn, or a little later if the caller waits so long."""
-        spread_s = self._rng.uniform(0.0, min(SPREAD_S, SPREAD_PART * turn_s))
-        latest_s = max(turn_s, want.patience_s, LEAST_AFTER_S)
-        after_s = min(max(LEAST_AFTER_S, turn_s + spread_s), latest_s)
+        """Return a refusal until the caller's retry slot in ``slot_s``, plus jitter.
+
+        Jitter is cut off at the caller's wait limit.
+        """
+        jitter_s = self._rng.uniform(0.0, min(MAX_JITTER_S, JITTER_FRACTION * slot_s))
+        max_after_s = max(slot_s, demand.patience_s, MIN_RETRY_AFTER_S)
+        after_s = min(max(MIN_RETRY_AFTER_S, slot_s + jitter_s), max_after_s)
         return OverQuota(after_s, account.left, account.age_s(_now()), owner)
 
-    async def _ask(self, account: Account, want: Want) -> QuotaVerdict | None:
-        """The verdict of the first owner that answers; None if none does.
+    async def _ask(self, account: Account, demand: Want) -> QuotaVerdict | None:
+        """Ask the owners in order and return the verdict, or None if none answers.
 
-        A refusal of one that has just begun to count is not the last word.
+        A recently started owner may count less of the quota as left than the other
+        owner does.  Its refusal is therefore followed only if no other owner grants the
+        request or refuses it on a longer record.
         """
         refused: QuotaVerdict | None = None
-        for owner in self._owners_of(account.workspace):
-            verdict = await self._ask_owner(owner, self._ask_of(account, want))
+        for owner in self._reachable_owners(account.workspace):
+            verdict = await self._ask_owner(owner, self._make_ask(account, demand))
             if verdict is None:
-                self._suspects[owner.name] = _now() + SUSPECT_S
+                self._skipped_until[owner.name] = _now() + OWNER_SKIP_S
                 continue
-            self._suspects.pop(owner.name, None)
+            self._skipped_until.pop(owner.name, None)
             if verdict.granted or not verdict.young:
                 account.heard(verdict.level, _now())
                 return verdict
@@ -246,16 +280,16 @@
             account.heard(refused.level, _now())
         return refused
 
-    def _ask_of(self, account: Account, want: Want) -> QuotaAsk:
+    def _make_ask(self, account: Account, demand: Want) -> QuotaAsk:
         return QuotaAsk(
             gateway=self._name,
             incarnation=self._incarnation,
             seq=next(self._seqs),
             spent=account.item(_now()),
-            cost=want.cost,
-            rank=want.rank,
-            request=want.request,
-            patience_s=want.patience_s,
+            cost=demand.cost,
+            rank=demand.rank,
+            request=demand.request,
+            patience_s=demand.patience_s,
         )
 
     async def _ask_owner(
@@ -266,56 +300,69 @@
         answer: asyncio.Future[QuotaVerdict] = (
             asyncio.get_running_loop().create_future()
         )
-        self._waiting[ask.seq] = answer
+        self._pending_asks[ask.seq] = answer
         try:
-            for wait_s in (ASK_AGAIN_S, ASK_S - ASK_AGAIN_S):
+            for wait_s in (ASK_RESEND_S, ASK_TIMEOUT_S - ASK_RESEND_S):
                 self._transport.send(ask, (owner,))
                 await asyncio.wait((answer,), timeout=wait_s)
                 if answer.done():
                     return answer.result()
             return None
         finally:
-            del self._waiting[ask.seq]
+            del self._pending_asks[ask.seq]
+
+    def _reachable_owners(self, workspace: str) -> list[GatewayPeer]:
+        """Return the owners that may be asked, the deciding one first.
 
-    def _owners_of(self, workspace: str) -> list[GatewayPeer]:
-        """The owners that are not suspected, the one that decides first."""
-        self._note_fleet()
-        if not self._is_settled():
+        Leaves out owners that recently did not answer.  Returns none while the fleet is
+        not known.
+        """
+        self._update_owners()
+        if not self._is_fleet_known():
             return []
         now = _now()
         return [
-            one
-            for one in self._owners.of(workspace)
-            if self._suspects.get(one.name, now) <= now
+            owner
+            for owner in self._owners.of(workspace)
+            if self._skipped_until.get(owner.name, now) <= now
         ]
 
-    def _note_fleet(self, *, always: bool = False) -> None:
+    def _update_owners(self, *, always: bool = False) -> None:
+        """Pass the announced gateways to the owners' table if they have changed.
+
+        ``always`` does so for an unchanged fleet too, which renews the time at which
+        its gateways were last seen.
+        """
         fleet = self._fleet()
-        if always or fleet is not self._known_fleet:
-            self._known_fleet = fleet
-            known = (one for one in (fleet.own, *fleet.others) if one.address)
-            self._owners.update(known, _now())
+        if always or fleet is not self._last_fleet:
+            self._last_fleet = fleet
+            announced = (peer for peer in (fleet.own, *fleet.others) if peer.address)
+            self._owners.update(announced, _now())
 
-    def _is_settled(self) -> bool:
+    def _is_fleet_known(self) -> bool:
+        """Return whether enough gateways are known to tell which are the owners."""
         if self._is_listed or len(self._owners) > 1:
             return True
-        return _now() > self._started_at + SETTLE_S
+        return _now() > self._started_at + STARTUP_GRACE_S
 
-    # What this gateway reports.
+    # Reports of this gateway.
 
-    def _report(self) -> None:
-        self._due = None
+    def _send_report(self) -> None:
+        self._report_timer = None
         self._send_reports(self._unreported, first=True)
         self._unreported = set()
 
-    def _report_spare(self) -> None:
-        self._spare_due = None
-        self._send_reports(self._spare_unreported, first=False)
-        self._spare_unreported = set()
+    def _send_fallback_report(self) -> None:
+        self._fallback_report_timer = None
+        self._send_reports(self._fallback_unreported, first=False)
+        self._fallback_unreported = set()
 
     def _send_reports(self, workspaces: Iterable[str], *, first: bool) -> None:
-        """Report workspaces to the owners that decide, or to the other ones."""
-        self._note_fleet()
+        """Report what was spent to the deciding owners, or to the fallback owners.
+
+        ``first`` selects the deciding ones.
+        """
+        self._update_owners()
         now = _now()
         by_owner: defaultdict[str, list[Account]] = defaultdict(list)
         quotas = self._quotas()
@@ -325,7 +372,9 @@
                 account = self._account(workspace)
                 by_owner[owners[not first].name].append(account)
         for name, accounts in by_owner.items():
-            items = (one.report(now) if first else one.item(now) for one in accounts)
+            items = (
+                entry.report(now) if first else entry.item(now) for entry in accounts
+            )
             report = QuotaReport(
                 self._name,
                 self._incarnation,
@@ -334,55 +383,57 @@
                 spare=not first,
             )
             if name == self._name:
-                self._hear_report(report)
+                self._on_report(report)
             else:
                 self._send(report, name)
 
-    async def _repeat(self) -> None:
+    async def _send_periodically(self) -> None:
         while True:
-            await asyncio.sleep(KEEP_S)
+            await asyncio.sleep(REPORT_INTERVAL_WHEN_SHORT_S)
             if not self._quotas() and not self._accounts:
                 continue
             now = _now()
-            assert self._counting is not None
-            self._note_fleet(always=True)
-            self._send_notices(self._counting.remind(now))
+            assert self._ledgers is not None
+            self._update_owners(always=True)
+            self._send_notices(self._ledgers.remind(now))
             for workspace, account in list(self._accounts.items()):
                 if account.is_idle(now):
                     del self._accounts[workspace]
-            short = [name for name, one in self._accounts.items() if one.is_short(now)]
+            short = [
+                name for name, entry in self._accounts.items() if entry.is_short(now)
+            ]
             self._send_reports(short, first=True)
             self._send_reports(short, first=False)
 
-    # What comes from other gateways.
+    # Messages from other gateways.
 
-    def _hear_report(self, report: QuotaReport) -> None:
-        if self._counting is not None:
-            self._send_notices(self._counting.report(report, _now()))
+    def _on_report(self, report: QuotaReport) -> None:
+        if self._ledgers is not None:
+            self._send_notices(self._ledgers.report(report, _now()))
 
-    def _hear_ask(self, ask: QuotaAsk) -> None:
+    def _on_ask(self, ask: QuotaAsk) -> None:
         verdict = self._decide(ask)
         if verdict is not None:
             self._send(verdict, ask.gateway)
 
     def _decide(self, ask: QuotaAsk) -> QuotaVerdict | None:
-        found = None if self._counting is None else self._counting.ask(ask, _now())
-        if found is None:
+        decision = None if self._ledgers is None else self._ledgers.ask(ask, _now())
+        if decision is None:
             return None
-        verdict, notices = found
+        verdict, notices = decision
         self._send_notices(notices)
         return verdict
 
-    def _hear_verdict(self, verdict: QuotaVerdict) -> None:
-        answer = self._waiting.get(verdict.seq)
+    def _on_verdict(self, verdict: QuotaVerdict) -> None:
+        answer = self._pending_asks.get(verdict.seq)
         if answer is not None and not answer.done():
             answer.set_result(verdict)
 
-    def _hear_levels(self, notice: QuotaLevels) -> None:
+    def _on_levels(self, notice: QuotaLevels) -> None:
         now = _now()
         for level in notice.items:
             account = self._accounts.get(level.workspace)
-            owners = self._owners_of(level.workspace)
+            owners = self._reachable_owners(level.workspace)
             if account is None or not owners:
                 continue
             if owners[0].name == notice.owner:
@@ -393,7 +444,7 @@
     def _send_notices(self, notices: Mapping[str, QuotaLevels]) -> None:
         for name, levels in notices.items():
             if name == self._name:
-                self._hear_levels(levels)
+                self._on_levels(levels)
             else:
                 self._send(levels, name)
 
--- a/tests/builders_operators.py
+++ b/tests/builders_operators.py
@@ -1,4 +1,4 @@
-"""Builds a control process in memory, and a client of its operators' interface."""
+"""Builds control processes, and clients of their operators' interface."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 
 
 def joining_mesh(folder: pathlib.Path, control: Control, store: ConfigStore) -> Mesh:
-    """The mesh of an entry that knows ``control`` alone."""
+    """Return the mesh of an entry that is configured with ``control`` alone."""
     token_file = folder / "fleet-token"
     token_file.write_text(FLEET_TOKEN)
     fleet = FleetCfg(token_file, controls=(control.addresses["rpc"],))
@@ -68,7 +68,10 @@
 
 
 class Cluster:
-    """Three control processes of one log on one loop, each with its own folder."""
+    """Three control processes that replicate one log.
+
+    They share an event loop; each has a folder of its own.
+    """
 
     names = ("control-1", "control-2", "control-3")
 
@@ -103,15 +106,15 @@
         return OperatorClient(Target(urls, TOKEN, timeout_s=timeout_s))
 
     async def status(self) -> list[Any]:
-        """What each process says of the replicas."""
-        found = []
+        """Return the replicas' status as each running process reports it."""
+        statuses = []
         for control in self.running.values():
             async with client(control) as operator:
-                found.append((await operator.get("/v1/status")).json()["control"])
-        return found
+                statuses.append((await operator.get("/v1/status")).json()["control"])
+        return statuses
 
     async def leader(self) -> str:
-        """Name of the leader, once one leads."""
+        """Wait until a process is leader, and return its name."""
         while True:
             for status in await self.status():
                 if status["role"] == "leader":
@@ -119,7 +122,10 @@
             await asyncio.sleep(0.05)
 
     async def whole(self) -> None:
-        """Return once the leader counts all three as members without a repair."""
+        """Wait until a replica counts all three as members and all repairs are done.
+
+        At least one repair must have taken place.
+        """
         while True:
             for status in await self.status():
                 done = [r["state"] == "done" for r in status["repairs"]]
@@ -129,7 +135,11 @@
 
 
 def free_address() -> str:
-    """An address that was free a moment ago; replicas must know them beforehand."""
+    """Return an address that was free a moment ago.
+
+    Replicas are configured with each other's addresses before they start, so they
+    can't choose a port when they listen.
+    """
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -1,4 +1,4 @@
-"""The operators' commands against a control process with its state in memory."""
+"""Tests the operators' commands against a control process with in-memory state."""
 
 from __future__ import annotations
 
@@ -56,18 +56,21 @@
 
 @pytest.fixture
 def control() -> Iterator[Control]:
-    """A control process on a loop of its own, as the commands run theirs."""
+    """Run a control process on an event loop in a thread of its own.
+
+    Each command runs its own loop in the thread of the test.
+    """
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever, daemon=True)
     thread.start()
     context = running_control()
 
-    def wait(coroutine):
+    def run_on_loop(coroutine):
         return asyncio.run_coroutine_threadsafe(coroutine, loop).result(30)
 
     try:
-        yield wait(context.__aenter__())
-        wait(context.__aexit__(None, None, None))
+        yield run_on_loop(context.__aenter__())
+        run_on_loop(context.__aexit__(None, None, None))
     finally:
         loop.call_soon_threadsafe(loop.stop)
         thread.join(30)
@@ -78,7 +81,7 @@
 def run(
     control: Control, tmp_path: pathlib.Path, monkeypatch: pytest.MonkeyPatch
 ) -> Run:
-    """Run one command and return its exit code."""
+    """Return a function that runs one command and returns its exit code."""
     token_file = tmp_path / "token"
     token_file.write_text(TOKEN)
     urls = f"http://127.0.0.1:1,http://{control.addresses['http']}"
@@ -95,7 +98,7 @@
     return command
 
 
-def test_profile_from_first_apply_to_retirement(run, capsys):
+def test_profile_is_created_changed_shown_and_retired(run, capsys):
     assert run("profile", "apply", "summary", *SUMMARY) == 0
     assert run("profile", "apply", "summary", "--priority", "3") == 0
     capsys.readouterr()
@@ -122,9 +125,8 @@
         ("apply", "FILE", "--dry-rn"),
     ],
 )
-def test_nothing_is_changed_on_trial_or_by_a_mistyped_flag(
-    run, control, tmp_path, args
-):
+def test_dry_run_or_mistyped_flag_changes_nothing(run, control, tmp_path, args):
+    """A command must not act before fire has accepted all of its arguments."""
     file = tmp_path / "declarations.toml"
     file.write_text(DECLARED)
     code = run(*(str(file) if arg == "FILE" else arg for arg in args))
@@ -132,7 +134,8 @@
     assert control.store.revision == 0
 
 
-def test_resend_under_the_same_change_id_changes_once(run, control, capsys):
+def test_change_sent_twice_with_one_change_id_is_applied_once(run, control, capsys):
+    """The second reply equals the first; another change can't reuse the id."""
     args = ("profile", "apply", "summary", *SUMMARY, "--change-id", "c1", "--json")
     assert [run(*args), run(*args)] == [0, 0]
     first, second = capsys.readouterr().out.split("}\n", 1)
@@ -148,23 +151,25 @@
     assert run(*stale) == OperatorExit.REFUSED
 
 
-def test_keys_are_kept_as_digests_and_shown_once(run, control, tmp_path, capsys):
+def test_keys_are_stored_as_digests_and_shown_only_when_generated(
+    run, control, tmp_path, capsys
+):
     key_file = tmp_path / "key"
     key_file.write_text(KEY)
     assert run("workspace", "apply", "fraser", "--share", "2") == 0
     assert run("workspace", "add-key", "fraser", "--key-file", str(key_file)) == 0
     capsys.readouterr()
     assert run("workspace", "add-key", "fraser") == 0
-    made = capsys.readouterr().out.splitlines()[-1]
+    generated = capsys.readouterr().out.splitlines()[-1]
     digests = control.store.config.workspaces["fraser"].key_digests
-    assert digests == (key_digest(KEY), key_digest(made))
+    assert digests == (key_digest(KEY), key_digest(generated))
     assert run("workspace", "remove-key", "fraser", "--digest", digests[0][:12]) == 0
     assert control.store.config.workspaces["fraser"].key_digests == digests[1:]
     assert run("workspace", "list") == 0
     assert run("workspace", "show", "fraser") == 0
     assert run("audit", "--json") == 0
     shown = capsys.readouterr().out
-    assert KEY not in shown and made not in shown
+    assert KEY not in shown and generated not in shown
     revision = control.store.revision
     assert (
         run("workspace", "remove-key", "fraser", "ffffffff0000") == OperatorExit.REFUSED
@@ -177,10 +182,9 @@
 
 
 @pytest.mark.parametrize("digest", ["00000000", "0", "07", "0" * 64])
-def test_no_key_is_removed_by_a_digest_that_is_not_its_own(
-    run, control, tmp_path, digest
-):
-    # The library that reads arguments takes 00000000 for the number 0.
+def test_digest_of_another_key_removes_no_key(run, control, tmp_path, digest):
+    """A digest that fire changed, or that is too short, must not match other keys."""
+    # fire reads 00000000 as the number 0, and "0" is a prefix of this key's digest.
     keys = (f"key-{number:016d}" for number in range(10**4))
     key = next(key for key in keys if key_digest(key).startswith("07"))
     (tmp_path / "key").write_text(key)
@@ -191,7 +195,7 @@
     assert control.store.config.workspaces["fraser"].key_digests == (key_digest(key),)
 
 
-def test_upstreams_and_orders(run, control, capsys):
+def test_upstream_is_marked_as_leaving_and_gets_an_order(run, control, capsys):
     assert run("upstream", "leave", "e1") == 0
     assert control.store.config.leaving == {"e1"}
     assert run("upstream", "list", "--json") == 0
@@ -208,7 +212,7 @@
     assert (order["upstream"], order["version"]) == ("e1", "v2")
 
 
-def test_file_is_applied_with_its_difference_shown(run, control, tmp_path, capsys):
+def test_applying_a_file_shows_its_difference(run, control, tmp_path, capsys):
     file = tmp_path / "declarations.toml"
     file.write_text(DECLARED)
     assert run("apply", str(file)) == 0
@@ -228,7 +232,7 @@
     assert control.store.config.profiles == {}
 
 
-def test_every_fault_of_a_file_is_named_with_its_key(run, control, tmp_path, capsys):
+def test_every_fault_in_a_file_is_reported_with_its_key(run, control, tmp_path, capsys):
     file = tmp_path / "declarations.toml"
     file.write_text(FAULTY)
     assert run("apply", str(file)) == OperatorExit.USAGE
@@ -253,13 +257,16 @@
     assert "entry-7" in capsys.readouterr().out
 
 
-def test_wait_is_not_fooled_by_a_control_that_has_just_started(run, control):
+def test_wait_does_not_succeed_before_control_has_received_all_statuses(run, control):
+    """Control has no statuses right after its start, so that no process seems behind."""
     control._acknowledgements.start(now=1e12)
     args = ("profile", "apply", "summary", *SUMMARY, "--wait", "--timeout-s", "0.1")
     assert run(*args) == OperatorExit.NOT_IN_FORCE
 
 
-def test_wrong_token_and_nobody_there(run, control, tmp_path, capsys):
+def test_wrong_token_or_unreachable_control_sets_the_exit_code(
+    run, control, tmp_path, capsys
+):
     wrong = tmp_path / "wrong"
     wrong.write_text("not the token")
     assert run("status", "--token-file", str(wrong)) == OperatorExit.REFUSED
@@ -267,7 +274,7 @@
     assert run(*nobody, "--timeout-s", "0.1") == OperatorExit.NO_ANSWER
 
 
-def test_a_quarantined_request_is_listed_and_released(run, control, capsys):
+def test_quarantined_request_is_listed_and_released(run, control, capsys):
     digest = shown(request(1))
     for incarnation in ("u1", "u2", "u3"):
         control.ended_incarnations.report(incarnation, lost(1), time.monotonic())
