--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -258,7 +258,7 @@
 
 
 def test_wait_does_not_succeed_before_control_has_received_all_statuses(run, control):
-    """Control has no statuses right after its start, so that no process seems behind."""
+    """Right after its start control has no statuses, and no process seems behind."""
     control._acknowledgements.start(now=1e12)
     args = ("profile", "apply", "summary", *SUMMARY, "--wait", "--timeout-s", "0.1")
     assert run(*args) == OperatorExit.NOT_IN_FORCE
