--- a/gooseberrydale/process/quota_client.py
+++ b/gooseberrydale/process/quota_client.py
@@ -103,9 +103,9 @@
 class OverQuota:
     """The refusal of a request that is over its workspace's quota.
 
-    The caller may retry after ``retry_after_s``.  ``left`` is what was left of the
-    quota ``age_s`` ago.  ``owner`` is the gateway that decided: this one if no owner
-    answered.
+    The caller may retry after ``retry_after_s``.  ``left`` is what an owner reported as
+    left ``age_s`` ago, less what this gateway has spent since.  ``owner`` is the
+    gateway that decided: this one if no owner answered.
     """
 
     after_s: float
@@ -139,7 +139,7 @@
         self._fleet = fleet
         self._quotas = quotas
         self._rng = rng
-        self._is_listed = is_listed
+        self._has_static_fleet = is_listed
         self._accounts: dict[str, Account] = {}
         self._owners = Owners()
         self._last_fleet: Fleet | None = None
@@ -341,7 +341,7 @@
 
     def _is_fleet_known(self) -> bool:
         """Return whether enough gateways are known to tell which are the owners."""
-        if self._is_listed or len(self._owners) > 1:
+        if self._has_static_fleet or len(self._owners) > 1:
             return True
         return _now() > self._started_at + STARTUP_GRACE_S
 
