--- a/gooseberrydale/process/quota_client.py
+++ b/gooseberrydale/process/quota_client.py
@@ -20,7 +20,7 @@
 from gooseberrydale.connection.gateway_datagrams import FleetView
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.quotas.account import Account
-from gooseberrydale.version.quotas.counting import Counting
+from gooseberrydale.version.quotas.ledgers import Ledgers
 from gooseberrydale.version.quotas.messages import (
     QuotaAsk,
     QuotaLevels,
@@ -143,7 +143,7 @@
         self._accounts: dict[str, Account] = {}
         self._owners = Owners()
         self._last_fleet: Fleet | None = None
-        self._ledgers: Counting | None = None
+        self._ledgers: Ledgers | None = None
         self._started_at = 0.0
         self._skipped_until: dict[str, float] = {}
         self._seqs: Iterator[int] = itertools.count(1)
@@ -166,7 +166,7 @@
     async def start(self) -> None:
         """Start reporting and counting; the transport must be ready to send."""
         self._started_at = _now()
-        self._ledgers = Counting(self._name, self._quotas, self._started_at)
+        self._ledgers = Ledgers(self._name, self._quotas, self._started_at)
         self._repeat_task = asyncio.create_task(self._send_periodically())
 
     async def close(self) -> None:
@@ -239,10 +239,10 @@
         min_share = 1.0 / max(1, len(self._owners))
         if not self._is_fleet_known():
             min_share = STARTUP_SHARE
-        after_s = account.may_spend_own(demand.quota, min_share, _now())
+        after_s = account.own_share_wait_s(demand.quota, min_share, _now())
         if after_s > 0.0:
             return self._refuse(after_s, account, demand, self._name)
-        account.spend_own(demand.cost)
+        account.spend_own_share(demand.cost)
         self.spend(demand.workspace, demand.cost)
         return None
 
@@ -273,11 +273,11 @@
                 continue
             self._skipped_until.pop(owner.name, None)
             if verdict.granted or not verdict.young:
-                account.heard(verdict.level, _now())
+                account.note_received(verdict.level, _now())
                 return verdict
             refused = refused or verdict
         if refused is not None:
-            account.heard(refused.level, _now())
+            account.note_received(refused.level, _now())
         return refused
 
     def _make_ask(self, account: Account, demand: Want) -> QuotaAsk:
@@ -437,9 +437,9 @@
             if account is None or not owners:
                 continue
             if owners[0].name == notice.owner:
-                account.heard(level, now)
+                account.note_received(level, now)
             else:
-                account.heard_spare(level, now)
+                account.record_fallback_notice(level, now)
 
     def _send_notices(self, notices: Mapping[str, QuotaLevels]) -> None:
         for name, levels in notices.items():
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -22,7 +22,7 @@
     finish,
 )
 from gooseberrydale.request.fingerprint import shown
-from gooseberrydale.version.acknowledgements import Standing
+from gooseberrydale.version.acknowledgements import RevisionStatus
 from gooseberrydale.version.key_index import key_digest
 from tests.builders_incarnations import lost, request
 from tests.builders_operators import TOKEN, running_control
@@ -248,8 +248,8 @@
 
 
 def test_wait_names_the_process_that_is_behind(run, control, capsys):
-    behind = Standing("entry", "entry-7", "i1", "z1", 0, heard_at=1e12)
-    control._acknowledgements.heard(behind)
+    behind = RevisionStatus("entry", "entry-7", "i1", "z1", 0, received_at=1e12)
+    control._acknowledgements.record_status(behind)
     args = ("profile", "apply", "summary", *SUMMARY, "--wait", "--timeout-s", "1")
     assert run(*args) == OperatorExit.NOT_IN_FORCE
     assert "entry-7" in capsys.readouterr().err
