--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -21,7 +21,7 @@
     OperatorExit,
     finish,
 )
-from gooseberrydale.request.fingerprint import shown
+from gooseberrydale.request.fingerprint import fingerprint_text
 from gooseberrydale.version.acknowledgements import RevisionStatus
 from gooseberrydale.version.key_index import key_digest
 from tests.builders_incarnations import lost, request
@@ -275,7 +275,7 @@
 
 
 def test_quarantined_request_is_listed_and_released(run, control, capsys):
-    digest = shown(request(1))
+    digest = fingerprint_text(request(1))
     for incarnation in ("u1", "u2", "u3"):
         control.ended_incarnations.report(incarnation, lost(1), time.monotonic())
     assert run("request", "quarantined") == 0
