--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Hooks around scenarios: a folder for each, and an end to all it started."""
+"""behave hooks: give each scenario a folder, and end the processes it started."""
 
 from __future__ import annotations
 
@@ -13,16 +13,17 @@
 from tests.time_bound import time_bound
 
 SCENARIO_BOUND_S = 900.0
-"""The longest scenario takes some three minutes on a busy machine."""
+"""The longest scenario takes about three minutes on a busy machine; one that takes
+this long hangs."""
 
 
 def before_all(_context: Any) -> None:
-    """Keep the client's own log lines out of the report."""
+    """Keep the log lines of the HTTP client out of the report."""
     logging.getLogger("httpx2").setLevel(logging.WARNING)
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
-    """Give the scenario a folder and a loop for its callers."""
+    """Create the scenario's folder and the event loop of its callers."""
     context.folder = pathlib.Path(tempfile.mkdtemp(prefix="gooseberrydale-"))
     context.fleet = None
     context.load = Load()
@@ -32,10 +33,10 @@
 
 
 def after_scenario(context: Any, scenario: Any) -> None:
-    """End what the scenario started; show the logs of one that failed."""
+    """Stop everything the scenario started; print process logs if it failed."""
     context.bound.close()
     for relay in context.relays:
-        # Its loop is the callers', which ends next.
+        # Relays run on the callers' event loop, so close them before that loop.
         context.load.run(relay.close())
     context.load.close()
     if context.fleet is not None:
--- a/features/first_run.feature
+++ b/features/first_run.feature
@@ -21,6 +21,6 @@
 
   Scenario: A shutdown lets a running stream come to its end
     Given the product serves on this machine with one command
-    When the product is told to stop while a stream runs
+    When the product is asked to stop while a stream runs
     Then each answer is whole
     And the product ended with code 0 and left nothing behind
--- a/features/steps/durable_steps.py
+++ b/features/steps/durable_steps.py
@@ -1,4 +1,4 @@
-"""Steps around the replicated control state: changes, disks, leaders, operators."""
+"""Steps for the replicated control state: changes, lost disks, leaders, operators."""
 
 from __future__ import annotations
 
@@ -13,17 +13,19 @@
 from tests.fleet import Fleet, wait_until
 
 IN_FORCE_BOUND_S = 4.0
-STILL_S = 3.0
+REPAIR_START_S = 3.0
+"""Time in which the leader notices a lost disk and reports the repair."""
+
 POLL_S = 0.05
 
 
 def workspace_edit(name: str) -> dict[str, Any]:
-    """An edit that declares one more workspace."""
+    """Return an edit that declares a workspace."""
     return {"kind": "apply_workspace", "workspace": {"name": name}}
 
 
 def make_changes(context: Any, count: int) -> None:
-    """Make changes one after the other and remember those that were acknowledged."""
+    """Make changes one after the other and store the names of those acknowledged."""
     for _ in range(count):
         name = f"w-{uuid.uuid4().hex[:12]}"
         context.fleet.change(workspace_edit(name))
@@ -31,57 +33,57 @@
 
 
 def acknowledged(context: Any) -> list[str]:
-    """Workspaces whose declaration was acknowledged in this scenario."""
+    """Return the workspaces whose declaration was acknowledged in this scenario."""
     if "names" not in context:
         context.names = []
-    found: list[str] = context.names
-    return found
+    names: list[str] = context.names
+    return names
 
 
 def status(fleet: Fleet, name: str) -> dict[str, Any] | None:
-    """What one replica says of itself, None if it can't be asked."""
+    """Return the status that a replica reports, or None if it can't be reached."""
     answer = fleet.operate_at(name, "GET", "/v1/status")
     if answer is None or answer.status_code != 200:
         return None
-    found: dict[str, Any] = answer.json()
-    return found
+    report: dict[str, Any] = answer.json()
+    return report
 
 
 def leader(fleet: Fleet, without: str = "") -> str:
-    """The name of the replica that leads, once one does."""
-    found: list[str] = []
+    """Wait for a leader other than ``without`` and return its name."""
+    leaders: list[str] = []
 
-    def look() -> bool:
+    def find_leader() -> bool:
         for name in fleet.controls:
             if name == without or not fleet.processes[name].running:
                 continue
             answer = status(fleet, name)
             if answer is not None and answer["control"]["role"] == "leader":
-                found.append(name)
+                leaders.append(name)
                 return True
         return False
 
-    wait_until(look, "no replica leads")
-    return found[-1]
+    wait_until(find_leader, "no replica leads")
+    return leaders[-1]
 
 
 class RevisionWatch:
-    """Reads the revision in force at every entry and keeps each fall."""
+    """Polls the revision in force at every process and records each decrease."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._stop = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._highest: dict[tuple[str, str], int] = {}
-        self.falls: list[str] = []
+        self.decreases: list[str] = []
         self.reads = 0
 
     def start(self) -> None:
-        """Begin to watch."""
+        """Start polling in a thread."""
         self._thread.start()
 
     def close(self) -> None:
-        """Stop watching."""
+        """Stop the thread."""
         self._stop.set()
         self._thread.join(10.0)
 
@@ -97,12 +99,12 @@
             revision = int(process["revision"])
             self.reads += 1
             if revision < self._highest.get(key, 0):
-                self.falls.append(f"{key}: {self._highest[key]} -> {revision}")
+                self.decreases.append(f"{key}: {self._highest[key]} -> {revision}")
             self._highest[key] = max(revision, self._highest.get(key, 0))
 
 
 def watch(context: Any) -> None:
-    """Watch the revisions from here to the end of the scenario."""
+    """Poll the revisions until the scenario ends."""
     context.watch = RevisionWatch(context.fleet)
     context.watch.start()
     context.add_cleanup(context.watch.close)
@@ -111,13 +113,13 @@
 @given("{count:d} changes were made")
 @when("{count:d} changes were made")
 def step_changes(context: Any, count: int) -> None:
-    """Make changes."""
+    """Make ``count`` changes without timing them."""
     make_changes(context, count)
 
 
 @when("{count:d} changes are made, one after the other")
 def step_timed_changes(context: Any, count: int) -> None:
-    """Make changes and time each until it is in force everywhere."""
+    """Make changes and measure the time until each is in force everywhere."""
     context.in_force_s = []
     for _ in range(count):
         started = time.monotonic()
@@ -130,7 +132,7 @@
 
 
 def in_force(fleet: Fleet, revision: int) -> bool:
-    """Whether a replica knows that every process has put ``revision`` in force."""
+    """Whether a replica reports ``revision`` as in force at every process."""
     processes = len(fleet.entries) + len(fleet.upstreams)
     answers = [status(fleet, name) for name in fleet.controls]
     return any(
@@ -144,10 +146,10 @@
 
 @then("each of them was in force everywhere within {bound_s:g} s")
 def step_in_force(context: Any, bound_s: float) -> None:
-    """The slowest change keeps the bound; the figures are printed."""
+    """Check the slowest change against the bound; print median and slowest."""
     times = sorted(context.in_force_s)
-    middle = times[len(times) // 2]
-    print(f"in force everywhere: median {middle:.3f} s, slowest {times[-1]:.3f} s")
+    median = times[len(times) // 2]
+    print(f"in force everywhere: median {median:.3f} s, slowest {times[-1]:.3f} s")
     assert times[-1] <= bound_s, times
 
 
@@ -158,7 +160,7 @@
 def step_changes_under_kills(
     context: Any, count: int, victim: str, every_s: float
 ) -> None:
-    """Make changes while one replica after the other is killed."""
+    """Make changes while the leader, or each follower in turn, is killed."""
     watch(context)
     done = threading.Event()
     faults: list[BaseException] = []
@@ -189,20 +191,20 @@
 
 @then("every acknowledged change is in the configuration of all replicas")
 def step_all_there(context: Any) -> None:
-    """Each replica shows every acknowledged workspace, within a bound."""
-    wanted = set(acknowledged(context))
-    assert wanted
+    """Wait until each replica's configuration has every acknowledged workspace."""
+    expected = set(acknowledged(context))
+    assert expected
     started = time.monotonic()
     for name in context.fleet.controls:
         wait_until(
-            lambda n=name: wanted <= declared(context.fleet, n),
+            lambda n=name: expected <= declared(context.fleet, n),
             f"{name} lacks acknowledged changes",
         )
     print(f"all replicas complete after {time.monotonic() - started:.2f} s")
 
 
 def declared(fleet: Fleet, name: str) -> set[str]:
-    """Workspaces that one replica shows."""
+    """Return the workspaces in a replica's configuration."""
     answer = fleet.operate_at(name, "GET", "/v1/config")
     if answer is None or answer.status_code != 200:
         return set()
@@ -211,15 +213,15 @@
 
 @then("the revision never fell at any entry")
 def step_never_fell(context: Any) -> None:
-    """No process ever acknowledged a lower revision than before."""
+    """Check that no process acknowledged a lower revision than before."""
     context.watch.close()
     assert context.watch.reads > 0
-    assert not context.watch.falls, context.watch.falls
+    assert not context.watch.decreases, context.watch.decreases
 
 
 @when("a follower loses its disk and its repair is reported done")
 def step_lose_follower(context: Any) -> None:
-    """Empty the data folder of a follower."""
+    """Empty the data folder of a follower and wait for its repair."""
     lead = leader(context.fleet)
     context.lost = next(n for n in context.fleet.controls if n != lead)
     lose_disk(context.fleet, context.lost)
@@ -228,19 +230,19 @@
 
 @when("another replica loses its disk right after")
 def step_lose_second(context: Any) -> None:
-    """Empty the data folder of a replica that was there all the time."""
+    """Empty the data folder of a replica that has not lost its disk before."""
     context.lost = next(n for n in context.fleet.controls if n != context.lost)
     lose_disk(context.fleet, context.lost)
 
 
 @when("its repair is reported done")
 def step_repaired(context: Any) -> None:
-    """Wait for the report."""
+    """Wait until the leader reports the repair as done."""
     wait_repaired(context.fleet, context.lost)
 
 
 def lose_disk(fleet: Fleet, name: str) -> None:
-    """Kill a replica, remove all that it has stored, and start it again."""
+    """Kill a replica, delete its data folder's content, and start it again."""
     fleet.processes[name].kill()
     for path in (fleet.folder / name).iterdir():
         shutil.rmtree(path) if path.is_dir() else path.unlink()
@@ -248,7 +250,7 @@
 
 
 def wait_repaired(fleet: Fleet, name: str) -> None:
-    """Wait until the leader reports that all members are whole again."""
+    """Wait until the leader reports the repair of every member as done."""
     started = time.monotonic()
 
     def repaired() -> bool:
@@ -260,28 +262,32 @@
             return bool(repairs) and set(repairs.values()) == {"done"}
         return False
 
-    # The report must not be that of the time before the loss.
-    wait_until(lambda: status(fleet, name) is not None, f"{name} is not back")
-    time.sleep(STILL_S)
+    # Until the leader notices the loss, it still reports the earlier state "done".
+    wait_until(lambda: status(fleet, name) is not None, f"{name} does not answer")
+    time.sleep(REPAIR_START_S)
     wait_until(repaired, f"{name} is not repaired")
     print(f"{name} repaired after {time.monotonic() - started:.2f} s")
 
 
 @when("the leader is frozen")
 def step_freeze_leader(context: Any) -> None:
-    """Stop the leader in its tracks."""
+    """Suspend the leader's process with SIGSTOP."""
     watch(context)
     context.frozen = leader(context.fleet)
-    context.known = context.fleet.revision()
+    context.old_revision = context.fleet.revision()
     context.fleet.processes[context.frozen].freeze()
 
 
 @when("the frozen leader thaws and is sent a change for the revision it knows")
 def step_thaw_leader(context: Any) -> None:
-    """Let the old leader go on and ask it at once."""
+    """Resume the old leader and at once send it a change based on its revision."""
     context.fleet.processes[context.frozen].thaw()
     edit = workspace_edit("from-the-old-leader")
-    body = {"change_id": uuid.uuid4().hex, "base": context.known, "edits": [edit]}
+    body = {
+        "change_id": uuid.uuid4().hex,
+        "base": context.old_revision,
+        "edits": [edit],
+    }
     context.answer = context.fleet.operate_at(
         context.frozen, "POST", "/v1/changes", body
     )
@@ -289,7 +295,7 @@
 
 @then("that change was refused and changed nothing")
 def step_refused(context: Any) -> None:
-    """The old leader committed nothing on an old revision."""
+    """Check that the old leader did not commit a change on an old revision."""
     answer = context.answer
     assert answer is None or answer.status_code in (409, 421, 503), answer.text
     for name in context.fleet.controls:
@@ -300,7 +306,7 @@
     "two operators send different changes for the same revision {times:d} times",
 )
 def step_race(context: Any, times: int) -> None:
-    """Send two changes at once, for one base, to whoever leads."""
+    """Send the leader two changes at the same time for the same base revision."""
     context.races = []
     lead = leader(context.fleet)
     for number in range(times):
@@ -317,8 +323,8 @@
             answers.append(answer.status_code)
 
         threads = [
-            threading.Thread(target=send, args=(f"race-{number}-{who}",))
-            for who in ("ana", "ben")
+            threading.Thread(target=send, args=(f"race-{number}-{operator}",))
+            for operator in ("ana", "ben")
         ]
         for thread in threads:
             thread.start()
@@ -329,13 +335,13 @@
 
 @then("each time one was taken and the other got revision_conflict")
 def step_one_taken(context: Any) -> None:
-    """Exactly one of each pair was committed."""
+    """Check that exactly one change of each pair was committed."""
     assert context.races and all(r == [200, 409] for r in context.races), context.races
 
 
 @when("a change is sent and its answer is lost")
 def step_change_lost_answer(context: Any) -> None:
-    """Send a change whose answer nobody reads."""
+    """Send a change; the scenario treats its answer as lost."""
     context.resent = {
         "change_id": uuid.uuid4().hex,
         "base": context.fleet.revision(),
@@ -347,7 +353,7 @@
 
 @when("all control replicas are killed and started again")
 def step_restart_control(context: Any) -> None:
-    """Restart the whole of control at once and time it."""
+    """Kill and restart all replicas; print the time until one leads."""
     fleet = context.fleet
     for name in fleet.controls:
         fleet.processes[name].kill()
@@ -360,17 +366,19 @@
 
 @when("the first change is sent again to each replica")
 def step_resend(context: Any) -> None:
-    """Send the same change, with the same id, to every replica."""
-    context.again = []
+    """Send the same change with the same ``change_id`` to every replica."""
+    context.resend_answers = []
     for name in context.fleet.controls:
         answer = context.fleet.operate_at(name, "POST", "/v1/changes", context.resent)
         if answer.status_code != 421:
-            context.again.append(answer.json())
+            context.resend_answers.append(answer.json())
 
 
 @then("each answer names the revision of the first time")
 def step_same_answer(context: Any) -> None:
-    """At least the leader answers, and as it did before."""
-    assert context.again
-    wanted = context.first["revision"]
-    assert all(a["revision"] == wanted for a in context.again), context.again
+    """Check that the leader answers the resend with the first answer's revision."""
+    assert context.resend_answers
+    revision = context.first["revision"]
+    assert all(
+        a["revision"] == revision for a in context.resend_answers
+    ), context.resend_answers
--- a/features/steps/example_steps.py
+++ b/features/steps/example_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start the deployments of examples/ and use them."""
+"""Steps that start the deployments in examples/ and send requests to them."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @given("its declarations were applied by an operator and are in force everywhere")
 def step_apply(context: Any) -> None:
-    """Apply the file as it stands."""
+    """Apply the deployment's declarations file unchanged."""
     context.fleet.apply_declarations()
 
 
@@ -30,7 +30,7 @@
 def step_ask(
     context: Any, workspace: str, completion: str, count: int, service: str
 ) -> None:
-    """Send completions and one call that may not be repeated."""
+    """Send completions and one call that must not run twice."""
     fleet = context.fleet
     key = fleet.add_key(workspace)
     fleet.wait_ready(0)
@@ -39,8 +39,8 @@
     async def ask() -> list[Ending]:
         caller = Caller(urls, key)
         prompts = [nested_prompt(1, 1, number) for number in range(count)]
-        asked = [caller.stream(completion, prompt) for prompt in prompts]
-        endings = await asyncio.gather(*asked, caller.bid(service, {"lot": 1}))
+        completions = [caller.stream(completion, prompt) for prompt in prompts]
+        endings = await asyncio.gather(*completions, caller.bid(service, {"lot": 1}))
         await caller.close()
         return list(endings)
 
@@ -49,6 +49,6 @@
 
 @then("{count:d} upstreams have announced themselves")
 def step_announced(context: Any, count: int) -> None:
-    """Nothing lists them but themselves."""
+    """Check the number of upstreams, which no settings file lists."""
     upstreams = context.fleet.operate("GET", "/v1/upstreams")["upstreams"]
     assert len(upstreams) == count, sorted(u["name"] for u in upstreams)
--- a/features/steps/first_run_steps.py
+++ b/features/steps/first_run_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the product with one command and call it with the openai client."""
+"""Steps that start all roles with one command and call them with openai's client."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 PROFILE = "example"
 KEY = "local"
-NEARLY_WHOLE = 0.9
-PIECES = 4
+MIN_CACHED_FRACTION = 0.9
+GUIDE_PIECES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One answer, what it should have been, and the tokens of its prompt."""
+    """An answer, the expected text, and the token counts of the prompt."""
 
     text: str
     expected: str
@@ -33,7 +33,8 @@
 def step_serve(context: Any) -> None:
     """Start all roles in one process on free ports."""
     ready = context.folder / "ready.json"
-    # The product's own temporary folder is put where the scenario can look.
+    # The product creates its temporary folder here, so that the scenario can check
+    # that it was removed.
     context.scratch = context.folder / "scratch"
     context.scratch.mkdir()
     argv = ["env", f"TMPDIR={context.scratch}", sys.executable, "-m", "gooseberrydale"]
@@ -49,14 +50,14 @@
 
 @when("the openai client asks {count:d} questions about one long text, streamed")
 def step_ask_streamed(context: Any, count: int) -> None:
-    """Send one after the other; they share all but the question."""
+    """Send requests one after the other that differ only in the question."""
     context.answers = [_ask_streamed(context, i) for i in range(count)]
 
 
 @when("the openai client asks 1 question about one long text, at once")
 def step_ask(context: Any) -> None:
-    """Send one request whose answer comes in one piece."""
-    messages = nested_prompt(1, 1, 1, PIECES)
+    """Send one request that is not streamed."""
+    messages = nested_prompt(1, 1, 1, GUIDE_PIECES)
     answer = _client(context).chat.completions.create(
         model=PROFILE, messages=messages  # type: ignore[arg-type]
     )
@@ -66,8 +67,8 @@
 
 @when('the openai client asks with the key "{key}"')
 def step_ask_with_key(context: Any, key: str) -> None:
-    """Send one request that is to be refused."""
-    messages = nested_prompt(1, 1, 1, PIECES)
+    """Send one request and store the error of its refusal."""
+    messages = nested_prompt(1, 1, 1, GUIDE_PIECES)
     context.refusal = None
     try:
         _client(context, key).chat.completions.create(
@@ -77,15 +78,15 @@
         context.refusal = exc
 
 
-@when("the product is told to stop while a stream runs")
+@when("the product is asked to stop while a stream runs")
 def step_stop_midway(context: Any) -> None:
-    """Send SIGTERM after the first part of an answer, and read on."""
+    """Send SIGTERM after the first event of an answer and read the rest."""
     context.answers = [_ask_streamed(context, 1, stop_midway=True)]
 
 
 @then("each answer is whole")
 def step_whole(context: Any) -> None:
-    """Compare with what the example engine answers to the same prompt."""
+    """Compare each answer with the example engine's answer to the same prompt."""
     assert context.answers
     for answer in context.answers:
         assert answer.text == answer.expected, answer
@@ -93,21 +94,21 @@
 
 @then("the last answer found nearly the whole prompt cached")
 def step_cached(context: Any) -> None:
-    """The first found nothing; the last all but the question."""
+    """Check that nothing was cached at first, and nearly all of the last prompt."""
     first, last = context.answers[0], context.answers[-1]
     assert first.cached_tokens == 0, first
-    assert last.cached_tokens > NEARLY_WHOLE * last.prompt_tokens, last
+    assert last.cached_tokens > MIN_CACHED_FRACTION * last.prompt_tokens, last
 
 
 @then("the client sees the profile in the list of models")
 def step_models(context: Any) -> None:
-    """Profiles are what callers name as model."""
+    """Check that the list of models holds the profile, which callers name as model."""
     assert [m.id for m in _client(context).models.list()] == [PROFILE]
 
 
 @then('it is refused with status {status:d}, code "{code}" and not run')
 def step_refused(context: Any, status: int, code: str) -> None:
-    """The refusal is typed."""
+    """Check the status and the fields of the error body."""
     assert context.refusal is not None
     assert context.refusal.status_code == status
     body = context.refusal.body
@@ -117,18 +118,18 @@
 
 @then("the product ended with code 0 and left nothing behind")
 def step_ended(context: Any) -> None:
-    """It has ended by itself and removed its temporary folder."""
+    """Check that the process exited by itself and removed its temporary folder."""
     assert context.product.wait() == 0, context.product.output()[-2000:]
     assert list(context.scratch.iterdir()) == []
 
 
 def _client(context: Any, key: str = KEY) -> openai.OpenAI:
-    # Each request is sent once, so that the product's own work shows.
+    # The client must not retry: retries would hide failures of the product.
     return openai.OpenAI(base_url=context.url, api_key=key, max_retries=0)
 
 
 def _ask_streamed(context: Any, question: int, stop_midway: bool = False) -> Answer:
-    messages = nested_prompt(1, 1, question, PIECES)
+    messages = nested_prompt(1, 1, question, GUIDE_PIECES)
     parts: list[str] = []
     usage: Any = None
     stream = _client(context).chat.completions.create(
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -1,4 +1,4 @@
-"""Steps that start fleets, send load, bring about failures and check endings."""
+"""Steps and helpers that start fleets, send load and check how requests ended."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def profiles() -> tuple[Profile, ...]:
-    """The profiles that the scenarios use."""
+    """Return the profiles that the scenarios declare."""
     return (
         Profile(
             COMPLETIONS,
@@ -73,7 +73,7 @@
 
 
 def engines(count: int, *flags: str, **settings: object) -> list[UpstreamSpec]:
-    """Engines of one pool, spread over the zones; settings are their sidecars'."""
+    """Return engines of one pool in all zones; ``settings`` go to their sidecars."""
     defaults = ("--model", "model-a", "--decode-s", "0.02")
     return [
         UpstreamSpec(
@@ -88,7 +88,7 @@
 
 
 def services(count: int, delay_s: float = 0.05) -> list[UpstreamSpec]:
-    """Plain services of one pool, spread over the zones."""
+    """Return plain services of one pool, spread over the zones."""
     return [
         UpstreamSpec(
             f"service-{i + 1}",
@@ -102,16 +102,16 @@
 
 
 def caller(context: Any) -> Caller:
-    """The scenario's caller, which knows all entries."""
+    """Return the scenario's caller, which sends to all entries."""
     if "caller" not in context:
         urls = [context.fleet.entry_url(name) for name in context.fleet.entries]
         context.caller = Caller(urls, KEY, verify=context.fleet.verify)
-    found: Caller = context.caller
-    return found
+    shared: Caller = context.caller
+    return shared
 
 
 def show(endings: list[Ending]) -> str:
-    """The endings in short, for a failing assertion."""
+    """Format the requests that got no whole answer, for an assertion's message."""
     return "\n".join(
         f"{e.kind} {e.code} not_run={e.not_run} {e.request_ids} {e.detail}"
         for e in endings
@@ -120,7 +120,7 @@
 
 
 def run_counts(fleet: Fleet) -> dict[str, int]:
-    """How often each request id was run, by the upstreams' own records."""
+    """Count the runs of each request id in the records of running upstreams."""
     counts: dict[str, int] = collections.Counter()
     for name in fleet.upstreams:
         if fleet.processes["upstream-" + name].running:
@@ -150,7 +150,7 @@
 
 @when("{count:d} requests are sent, one each {every_s:g} s")
 def step_send(context: Any, count: int, every_s: float) -> None:
-    """Send load and wait for its end."""
+    """Send requests and wait until all have ended."""
     context.endings = context.load.run(
         mixed_load(caller(context), COMPLETIONS, count, every_s)
     )
@@ -158,7 +158,7 @@
 
 @given("{count:d} requests are under way, one each {every_s:g} s")
 def step_send_background(context: Any, count: int, every_s: float) -> None:
-    """Send load in the background."""
+    """Send requests in the background."""
     context.running = context.load.start(
         mixed_load(caller(context), COMPLETIONS, count, every_s)
     )
@@ -176,22 +176,22 @@
 
 @then("every request brought its whole answer")
 def step_all_whole(context: Any) -> None:
-    """Nothing was refused, lost or wrong."""
+    """Check that no request was refused, lost or answered wrongly."""
     kinds = collections.Counter(ending.kind for ending in context.endings)
     assert set(kinds) == {"whole"}, f"{kinds}\n{show(context.endings)}"
 
 
 @then("the engines ran each request once")
 def step_each_once(context: Any) -> None:
-    """The records hold every request exactly once."""
+    """Check that the engines' records hold every request exactly once."""
     counts = run_counts(context.fleet)
-    wanted = {ending.request_ids[0]: 1 for ending in context.endings}
-    assert counts == wanted, f"{counts} against {wanted}"
+    expected = {ending.request_ids[0]: 1 for ending in context.endings}
+    assert counts == expected, f"runs {counts}, expected {expected}"
 
 
 @then("both answers are the same and the services ran it once")
 def step_ran_once(context: Any) -> None:
-    """The bid ran once, and the resend got the answer of that run."""
+    """Check that the bid ran once and that the resend got that run's answer."""
     first, second = context.endings
     assert first.kind == "whole", show(context.endings)
     assert second.text == first.text, show(context.endings)
--- a/features/steps/leaving_steps.py
+++ b/features/steps/leaving_steps.py
@@ -1,4 +1,4 @@
-"""Steps around upstreams that operators mark as leaving."""
+"""Steps for upstreams that an operator marks as leaving (no new requests)."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def step_one_reaches(
     context: Any, controls: int, entries: int, n: int, at_once: int, name: str
 ) -> None:
-    """Start a fleet in which news from control has one way in."""
+    """Start a fleet in which only one process receives changes from control."""
     upstreams = engines(n, max_running=at_once)
     names = [f"entry-{i + 1}" for i in range(entries)]
     names += ["sidecar-" + spec.name for spec in upstreams]
@@ -40,7 +40,7 @@
 
 @when("{name} is marked as leaving after {wait_s:g} s")
 def step_mark(context: Any, name: str, wait_s: float) -> None:
-    """Commit the mark; keep when it was acknowledged."""
+    """Mark an upstream as leaving; store when control acknowledged the change."""
     time.sleep(wait_s)
     context.marked = name
     edit = {"kind": "mark_leaving", "name": name}
@@ -48,20 +48,20 @@
     context.marked_at = time.time()
 
 
-@when("control is killed once {name} has heard of it")
+@when("control is killed once {name} has received it")
 def step_kill_control(context: Any, name: str) -> None:
-    """End all of control when one process has acknowledged the change."""
+    """Kill all control replicas once one process has acknowledged the change."""
     fleet = context.fleet
     wait_until(
-        lambda: _heard(fleet, name, context.marked_revision),
-        f"{name} has not heard of the change",
+        lambda: _acknowledged(fleet, name, context.marked_revision),
+        f"{name} has not received the change",
     )
     for control in fleet.controls:
         fleet.processes[control].kill()
     print(f"control ended {time.time() - context.marked_at:.2f} s after the change")
 
 
-def _heard(fleet: Fleet, name: str, revision: int) -> bool:
+def _acknowledged(fleet: Fleet, name: str, revision: int) -> bool:
     for control in fleet.controls:
         answer = status(fleet, control)
         for process in answer["processes"] if answer else ():
@@ -75,7 +75,7 @@
     " change"
 )
 def step_last_start(context: Any, name: str, bound_s: float) -> None:
-    """The engine's own record times its last start."""
+    """Check when the engine started its last request, by its own record."""
     starts = _starts(context, name)
     assert any(start < 0.0 for start in starts), starts
     print(f"last work of {name} started {max(starts):+.2f} s from the change")
@@ -84,13 +84,13 @@
 
 @then("the other engines started work later than {bound_s:g} s after the change")
 def step_load_went_on(context: Any, bound_s: float) -> None:
-    """The load lasted long enough to meet the engine that was leaving."""
+    """Check that the load lasted longer than the time in which the engine must stop."""
     others = [n for n in context.fleet.upstreams if n != context.marked]
     starts = [start for name in others for start in _starts(context, name)]
     assert max(starts) > bound_s, sorted(starts)
 
 
 def _starts(context: Any, name: str) -> list[float]:
-    """When an engine started its work, in seconds from the change."""
+    """Return when an engine started each request, in seconds since the change."""
     runs = context.fleet.runs(name)
     return [run["started_at"] - context.marked_at for run in runs]
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -1,4 +1,4 @@
-"""Steps that give orders to upstreams and check what was carried out."""
+"""Steps that place orders for upstreams and check that they are carried out."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     " that {how} fencing numbers"
 )
 def step_engines(context: Any, controls: int, entries: int, n: int, how: str) -> None:
-    """Start engines that check the numbers of orders, or that do not."""
+    """Start engines that check the fencing numbers of orders, or ignore them."""
     checks = how == "check"
     specs = engines(n, *(CHECKING_FLAGS if checks else ()))
     for spec in specs:
@@ -48,13 +48,13 @@
 
 @when("the leader is killed")
 def step_kill_leader(context: Any) -> None:
-    """Crash whoever leads control."""
+    """Kill the control replica that leads."""
     context.fleet.processes[leader(context.fleet)].kill()
 
 
 @then("all orders are done and at no time more than {bound:d} were issued")
 def step_orders_done(context: Any, bound: int) -> None:
-    """Sample the orders until all are done."""
+    """Poll the orders until all are done; count those issued at the same time."""
     samples: list[int] = []
     states: list[str] = []
 
@@ -75,11 +75,11 @@
 
 @then('every upstream runs weights "{version}" and has taken numbers that only rise')
 def step_weights(context: Any, version: str) -> None:
-    """The engines' own words and records."""
+    """Check the weights that engines report, and the fencing numbers they recorded."""
     for name in context.fleet.upstreams:
         url = context.fleet.upstream_url(name)
         health = httpx2.get(f"{url}/health", trust_env=False).json()
         assert health["weights_version"] == version, (name, health)
-        taken = httpx2.get(f"{url}/record", trust_env=False).json()["orders"]
-        numbers = [order["number"] for order in taken]
+        orders = httpx2.get(f"{url}/record", trust_env=False).json()["orders"]
+        numbers = [order["number"] for order in orders]
         assert numbers and numbers == sorted(set(numbers)), (name, numbers)
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -1,4 +1,4 @@
-"""Steps around rolling restarts."""
+"""Steps for rolling restarts of entries and sidecars."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 @when("all entries and sidecars are restarted gracefully, one after the other")
 def step_rolling(context: Any) -> None:
-    """Ask each to shut down, wait for its end, and start it again.
+    """Ask each process to shut down, wait until it has exited, and restart it.
 
-    Callers stand behind a balancer: it takes an entry out once its ``/readyz``
-    fails, and in again once it is ready.
+    The step acts as the load balancer of the callers: it removes an entry when
+    ``/readyz`` fails, and adds it again when the entry is ready.
     """
     fleet = context.fleet
     for name in fleet.entries:
@@ -32,38 +32,40 @@
         fleet.processes["sidecar-" + name].terminate()
         restart(context, "sidecar-" + name)
         wait_for_port(fleet.host("sidecar-" + name), SIDECAR_RPC)
-    context.back_at = time.monotonic()
+    context.restarted_at = time.monotonic()
 
 
 def restart(context: Any, name: str) -> None:
-    """Start a process again once it has ended by itself."""
+    """Wait until a process has exited, then start it again."""
     started = time.monotonic()
     step_ended(context, name)
     context.fleet.processes[name].start()
-    print(f"{name} ended {time.monotonic() - started:.2f} s after it was unready")
+    print(f"{name} exited {time.monotonic() - started:.2f} s after it became unready")
 
 
 def balance(context: Any, without: str = "") -> None:
-    """Point the callers at all entries but one."""
+    """Let the callers send to all entries except ``without``."""
     names = [name for name in context.fleet.entries if name != without]
-    caller(context).use([context.fleet.entry_url(name) for name in names])
+    caller(context).use_entries([context.fleet.entry_url(name) for name in names])
 
 
 @then("each request ran once, or went on where its last run ended")
 def step_once_or_resumed(context: Any) -> None:
-    """No answer was computed again from its start."""
-    fresh = collections.Counter(
+    """Check that no request was computed from its start more than once."""
+    full_runs = collections.Counter(
         run["request_id"]
         for name in context.fleet.upstreams
         for run in context.fleet.runs(name)
         if run["first_index"] == 0
     )
-    wanted = {ending.request_ids[0]: 1 for ending in context.endings}
-    assert fresh == wanted, f"{fresh - collections.Counter(wanted)} ran again"
+    expected = {ending.request_ids[0]: 1 for ending in context.endings}
+    assert (
+        full_runs == expected
+    ), f"{full_runs - collections.Counter(expected)} ran again"
 
 
 @then("requests were still sent when the last process was back")
 def step_load_lasted(context: Any) -> None:
-    """The load met every restart."""
+    """Check that requests were still sent after the last restart."""
     last = max(ending.started_at for ending in context.endings)
-    assert last > context.back_at, f"{context.back_at - last:.1f} s too early"
+    assert last > context.restarted_at, f"{context.restarted_at - last:.1f} s too early"
--- a/features/steps/security_steps.py
+++ b/features/steps/security_steps.py
@@ -1,4 +1,4 @@
-"""Steps about TLS, the fleet token and secrets in logs."""
+"""Steps for TLS, the fleet token and secrets in logs."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 
 WRONG_TOKEN = "token-of-another-fleet"
-STRANGER = "stranger"
+FOREIGN_UPSTREAM = "foreign"
 ANNOUNCE_S = 4.0
 CALL_S = 3.0
 
@@ -34,13 +34,13 @@
     " {n:d} engines"
 )
 def step_tls_fleet(context: Any, controls: int, entries: int, n: int) -> None:
-    """Start a fleet whose every listener has a certificate."""
+    """Start a fleet in which every listener has a certificate."""
     start_fleet(context, controls, entries, engines(n), tls=True)
 
 
 @then("no listener of the system answers without TLS")
 def step_no_plain(context: Any) -> None:
-    """Try each HTTP and gRPC listener in plain."""
+    """Call each HTTP and gRPC listener without TLS; every call must fail."""
     fleet = context.fleet
     urls = [fleet.entry_url(name) + "/livez" for name in fleet.entries]
     urls += [fleet.operator_url(name) + "/v1/status" for name in fleet.controls]
@@ -51,7 +51,7 @@
             )
         except httpx2.HTTPError:
             continue
-        raise AssertionError(f"{url} answered in plain: {answer.status_code}")
+        raise AssertionError(f"{url} answered without TLS: status {answer.status_code}")
     listeners = [f"{fleet.host(name)}:{ENTRY_RPC}" for name in fleet.entries]
     listeners += [f"{fleet.host(name)}:{CONTROL_RPC}" for name in fleet.controls]
     listeners += [
@@ -64,7 +64,7 @@
 
 @then("the operators' command works with the authority's certificate alone")
 def step_cli_tls(context: Any) -> None:
-    """The command line over TLS, with and without the authority."""
+    """Run an operators' command over TLS with and without the CA file."""
     fleet = context.fleet
     args = ("profile", "list", *fleet.operator_args())
     assert "summaries" in fleet.cli(*args, "--ca_file", fleet.tls["ca_file"])
@@ -72,26 +72,26 @@
 
 
 @when("a sidecar with another fleet token is started")
-def step_stranger(context: Any) -> None:
+def step_foreign_sidecar(context: Any) -> None:
     """Start an upstream whose sidecar has the wrong token."""
     fleet = context.fleet
-    fleet.add_upstream(UpstreamSpec(STRANGER, "engines", model="model-a"))
-    cfg = fleet.cfg_path("sidecar-" + STRANGER)
+    fleet.add_upstream(UpstreamSpec(FOREIGN_UPSTREAM, "engines", model="model-a"))
+    cfg = fleet.cfg_path("sidecar-" + FOREIGN_UPSTREAM)
     token_file = fleet.folder / "wrong-token"
     token_file.write_text(WRONG_TOKEN)
     cfg.write_text(cfg.read_text().replace("fleet-token", "wrong-token"))
-    fleet.processes["upstream-" + STRANGER].start()
-    fleet.processes["sidecar-" + STRANGER].start()
+    fleet.processes["upstream-" + FOREIGN_UPSTREAM].start()
+    fleet.processes["sidecar-" + FOREIGN_UPSTREAM].start()
 
 
 @then("its upstream is not announced, and a call with that token is refused")
 def step_not_announced(context: Any) -> None:
-    """The stranger runs, but nobody hears it, and it reads nothing."""
+    """Check that the sidecar runs, but is neither announced nor served by others."""
     fleet = context.fleet
     time.sleep(ANNOUNCE_S)
-    assert fleet.processes["sidecar-" + STRANGER].running
-    shown = fleet.operate("GET", "/v1/upstreams")["upstreams"]
-    assert [upstream["name"] for upstream in shown] == ["engine-1"], shown
+    assert fleet.processes["sidecar-" + FOREIGN_UPSTREAM].running
+    announced = fleet.operate("GET", "/v1/upstreams")["upstreams"]
+    assert [upstream["name"] for upstream in announced] == ["engine-1"], announced
     address = f"{fleet.host('sidecar-engine-1')}:{SIDECAR_RPC}"
     assert call_code(address, WRONG_TOKEN) is grpc.StatusCode.UNAUTHENTICATED
     assert call_code(address, FLEET_TOKEN) is None
@@ -99,7 +99,7 @@
 
 @then("every line of the logs is JSON, and no token or key stands in any")
 def step_no_secrets(context: Any) -> None:
-    """Read all logs of the system's own processes."""
+    """Check the logs of all processes; upstreams may log in any format."""
     for name, process in context.fleet.processes.items():
         text = process.output()
         if not name.startswith("upstream-"):
@@ -110,7 +110,7 @@
 
 
 def call_code(address: str, token: str) -> grpc.StatusCode | None:
-    """Code with which a plain call fails, None if it is answered."""
+    """Return the code with which a call without TLS fails, or None if it succeeds."""
 
     async def call() -> grpc.StatusCode | None:
         channel = RpcChannel(address, token)
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -1,4 +1,4 @@
-"""Steps around connections that go silent without being closed."""
+"""Steps for connections on which no bytes arrive although they stay open."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def relay_to(context: Any, host: str, port: int) -> Relay:
-    """A relay on the loop of the callers, closed at the end of the scenario."""
+    """Start a relay on the callers' event loop; it is closed after the scenario."""
     relay = Relay(port, host)
     context.load.run(relay.start())
     context.relays.append(relay)
@@ -37,7 +37,7 @@
     " with relays between sidecars and upstreams"
 )
 def step_upstream_relays(context: Any, controls: int, entries: int, n: int) -> None:
-    """Each sidecar reaches its upstream through a relay alone."""
+    """Start a fleet whose sidecars reach their upstreams only through relays."""
 
     def prepare(fleet: Fleet, spec: UpstreamSpec) -> None:
         host = fleet.host("upstream-" + spec.name)
@@ -52,7 +52,7 @@
     " with relays between entries and sidecars"
 )
 def step_sidecar_relays(context: Any, controls: int, entries: int, n: int) -> None:
-    """Each sidecar announces the address of a relay before it."""
+    """Start a fleet whose sidecars announce the address of a relay as their own."""
 
     def prepare(fleet: Fleet, spec: UpstreamSpec) -> None:
         host = fleet.host("sidecar-" + spec.name)
@@ -67,7 +67,7 @@
     " with relays between callers and entries"
 )
 def step_entry_relays(context: Any, controls: int, entries: int, n: int) -> None:
-    """Callers reach entries through relays alone; answers take seconds."""
+    """Start a fleet with a relay for each entry, and engines that decode slowly."""
     upstreams = engines(n, "--decode-s", SLOW_DECODE_S)
     fleet = start_fleet(context, controls, entries, upstreams)
     for name in fleet.entries:
@@ -87,7 +87,7 @@
 
 
 async def send_plain(sender: Caller, count: int, every_s: float) -> list[Ending]:
-    """Send requests whose answers come in one piece."""
+    """Send requests that are not streamed, one every ``every_s`` seconds."""
     tasks = []
     for number in range(count):
         sending = sender.plain(COMPLETIONS, nested_prompt(1, 1, number))
@@ -110,7 +110,7 @@
 async def send_streams(
     sender: Caller, count: int, every_s: float = SEND_EVERY_S
 ) -> list[Ending]:
-    """Send streamed requests, one shortly after the other."""
+    """Send streamed requests, one every ``every_s`` seconds."""
     tasks = []
     for number in range(count):
         sending = sender.stream(COMPLETIONS, nested_prompt(1, 1, number))
@@ -121,7 +121,7 @@
 
 @when("all connections open at the relays go silent after {wait_s:g} s")
 def step_silence(context: Any, wait_s: float) -> None:
-    """Silence what is open now; each relay must have something to silence."""
+    """Silence all open connections; each relay must have at least one."""
     time.sleep(wait_s)
     context.accepted = [relay.accepted for relay in context.relays]
     open_counts = [relay.open_count for relay in context.relays]
@@ -131,14 +131,14 @@
 
 
 async def silence(relays: list[Relay]) -> None:
-    """Silence the open connections, on the loop that owns them."""
+    """Silence the open connections; must run on the relays' event loop."""
     for relay in relays:
         relay.silence_open()
 
 
 @then("every request ended within {bound_s:g} s of its start")
 def step_bounded(context: Any, bound_s: float) -> None:
-    """A silent connection costs seconds; the bound is generous, the figure printed."""
+    """Check that silent connections were given up in time; print the longest."""
     longest = max(ending.took_s for ending in context.endings)
     print(f"the longest request took {longest:.2f} s")
     assert longest <= bound_s, longest
@@ -146,14 +146,14 @@
 
 @then("each relay forwards new connections")
 def step_replaced(context: Any) -> None:
-    """The silent connections were replaced by new ones."""
-    now = [relay.accepted for relay in context.relays]
-    assert all(b > a for a, b in zip(context.accepted, now, strict=True)), now
+    """Check that each relay accepted connections after the others went silent."""
+    accepted = [relay.accepted for relay in context.relays]
+    assert all(b > a for a, b in zip(context.accepted, accepted, strict=True)), accepted
 
 
 @then("at least {least:d} of them were attached to again by the last event's id")
 def step_attached(context: Any, least: int) -> None:
-    """Callers with a silent connection came back on a new one."""
-    again = [ending for ending in context.endings if len(ending.request_ids) > 1]
-    print(f"{len(again)} of {len(context.endings)} streams were attached to again")
-    assert len(again) >= least, show(context.endings)
+    """Check that callers with a silent connection attached again on a new one."""
+    reattached = [ending for ending in context.endings if len(ending.request_ids) > 1]
+    print(f"{len(reattached)} of {len(context.endings)} streams were attached to again")
+    assert len(reattached) >= least, show(context.endings)
--- a/scripts/bench_routing.py
+++ b/scripts/bench_routing.py
@@ -1,8 +1,8 @@
-"""Print what one routing decision costs, by number of upstreams.
+"""Print the processor time of one routing decision, by number of upstreams.
 
-Each decision is for a prompt of a guide, a lot and a fresh question, with feedback
-as replies bring it.  "kept" hands in the same records each time, "renewed" a new
-snapshot with one renewed record before each decision.
+The prompts consist of a guide, a lot and a new question, and the policy receives
+feedback as replies would carry it.  "kept" passes the same records to each decision,
+"renewed" a new tuple in which one record was renewed.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def upstreams(count: int) -> tuple[UpstreamRecord, ...]:
-    """Return records of one pool over eight zones."""
+    """Return the records of one pool, spread over eight zones."""
     return tuple(
         UpstreamRecord(
             name=f"upstream-{i}",
@@ -47,7 +47,7 @@
 
 
 def request(rng: random.Random, number: int) -> RouteReq:
-    """Return a request of a random workspace: hot guide, lot, fresh question."""
+    """Return a request of a random workspace: shared guide, lot, new question."""
     workspace = rng.randrange(WORKSPACES)
     lot = rng.randrange(LOTS)
     names = [f"{workspace}/{i}" for i in range(GUIDE_PIECES)]
@@ -60,31 +60,31 @@
 
 
 def measure(policy: Policy, count: int, renew: bool) -> tuple[float, float]:
-    """Return µs per decision and µs per feedback of one attempt."""
+    """Return the µs per decision and the µs per feedback of an attempt."""
     rng = random.Random(1)
     records = upstreams(count)
     requests = [request(rng, number) for number in range(DECISIONS)]
-    choosing = learning = 0.0
+    choose_s = observe_s = 0.0
     for number, req in enumerate(requests):
         now = number * ARRIVAL_S
         if renew:
-            at = number % count
-            fresh = replace(records[at], seq=records[at].seq + 1)
-            records = (*records[:at], fresh, *records[at + 1 :])
-        began = time.perf_counter()
+            index = number % count
+            renewed = replace(records[index], seq=records[index].seq + 1)
+            records = (*records[:index], renewed, *records[index + 1 :])
+        started = time.perf_counter()
         choice = policy.choose(req, records, now).unwrap()
         chosen = time.perf_counter()
         policy.dispatched(choice, now)
         load = Load(1, 0, rng.random() * 0.2, 10_000.0)
         accepted = Accepted("r", 1, "1", 0, 200, (), load, 0, 32_000)
         policy.observe(choice, accepted, now + 0.02)
-        choosing += chosen - began
-        learning += time.perf_counter() - chosen
-    return choosing / DECISIONS * 1e6, learning / DECISIONS * 1e6
+        choose_s += chosen - started
+        observe_s += time.perf_counter() - chosen
+    return choose_s / DECISIONS * 1e6, observe_s / DECISIONS * 1e6
 
 
 def state_kib(count: int) -> float:
-    """Return what the router keeps after many decisions, in KiB."""
+    """Return the memory of the router's state after many decisions, in KiB."""
     rng = random.Random(1)
     records = upstreams(count)
     policy = make_policy("affinity", random.Random(0))
@@ -98,17 +98,17 @@
 
 
 def main() -> None:
-    """Measure every policy at every size."""
+    """Measure every policy at every size, then the memory of the affinity router."""
     print(f"{'policy':14} {'upstreams':>9} {'records':>8} {'choose µs':>10} learn µs")
     for name in POLICIES:
         for count in SIZES:
             for renew in (False, True):
                 policy = make_policy(name, random.Random(0))
-                choose_us, learn_us = measure(policy, count, renew)
+                choose_us, observe_us = measure(policy, count, renew)
                 records = "renewed" if renew else "kept"
                 print(
                     f"{name:14} {count:9} {records:>8} {choose_us:10.1f}"
-                    f" {learn_us:8.1f}"
+                    f" {observe_us:8.1f}"
                 )
     for count in SIZES:
         kib = state_kib(count)
--- a/scripts/check_binary.py
+++ b/scripts/check_binary.py
@@ -1,7 +1,7 @@
-"""Check a built binary: it runs, it is one process, and it stops when told to.
+"""Check a built binary: it runs as a single process and stops on SIGTERM.
 
 Usage: ``python scripts/check_binary.py dist/gooseberrydale.pyz``.  It starts the
-binary on a loopback port and ends only what it started.
+binary on a loopback port and stops only processes that it started.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 import gooseberrydale
 
-BOUND_S = 60.0
+TIMEOUT_S = 60.0
 POLL_S = 0.05
 SETTINGS = """
 [node]
@@ -33,18 +33,21 @@
 
 
 def check_version(argv: list[str], env: dict[str, str]) -> None:
-    """Fail unless the binary prints this version."""
+    """Exit with an error unless the binary prints the version of this source tree."""
     done = subprocess.run(
-        [*argv, "version"], env=env, capture_output=True, text=True, timeout=BOUND_S
+        [*argv, "version"], env=env, capture_output=True, text=True, timeout=TIMEOUT_S
     )
     if done.stdout.strip() != gooseberrydale.__version__:
-        sys.exit(f"version printed {done.stdout!r}: {done.stderr}")
+        sys.exit(
+            f"version printed {done.stdout!r}, expected"
+            f" {gooseberrydale.__version__!r}: {done.stderr}"
+        )
 
 
 def check_one_process(
     argv: list[str], env: dict[str, str], folder: pathlib.Path
 ) -> None:
-    """Fail unless an entry from the binary serves in one process and stops."""
+    """Exit with an error unless an entry serves in one process and stops."""
     (folder / "fleet.token").write_text("a token for this check")
     settings = folder / "entry.toml"
     settings.write_text(SETTINGS)
@@ -57,22 +60,24 @@
         if children:
             for child in children:
                 child.kill()
-            sys.exit(f"the binary runs as {1 + len(children)} processes")
+            sys.exit(f"the binary runs as {1 + len(children)} processes, expected 1")
         process.terminate()
-        code = process.wait(BOUND_S)
+        code = process.wait(TIMEOUT_S)
         if code != 0:
-            sys.exit(f"the entry ended with code {code}")
+            sys.exit(f"the entry exited with code {code} on SIGTERM, expected 0")
     finally:
         if process.poll() is None:
             process.kill()
 
 
 def wait_for(path: pathlib.Path, process: subprocess.Popen[bytes]) -> None:
-    """Return once the file is there; fail if the process ends or takes too long."""
-    end = time.monotonic() + BOUND_S
+    """Wait for the file; exit with an error if the process ends or takes too long."""
+    end = time.monotonic() + TIMEOUT_S
     while not path.exists():
         if process.poll() is not None or time.monotonic() > end:
-            sys.exit("the binary does not serve")
+            sys.exit(
+                f"the entry exited, or did not write {path} within {TIMEOUT_S:g} s"
+            )
         time.sleep(POLL_S)
 
 
@@ -85,7 +90,7 @@
         env = {**os.environ, "SHIV_ROOT": str(folder / "unpacked")}
         check_version(argv, env)
         check_one_process(argv, env, folder)
-    print(f"{binary.name}: version and one process checked")
+    print(f"{binary.name}: version, single process and shutdown checked")
 
 
 if __name__ == "__main__":
--- a/scripts/first_requests.py
+++ b/scripts/first_requests.py
@@ -1,7 +1,7 @@
-"""Send two questions about one long text and show what the second one saved.
+"""Send two questions about one long text and show the saving by the prefix cache.
 
 Usage: ``python scripts/first_requests.py --url http://127.0.0.1:8080``.  The client is
-the published ``openai`` library as it is; ``model`` names a profile.
+the published ``openai`` library, unmodified; its ``model`` names a profile.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """One answer: its text, time to its first token in seconds, and tokens."""
+    """The text of an answer, the time to its first token, and the token counts."""
 
     text: str
     first_token_s: float
@@ -29,7 +29,7 @@
 
 
 def long_guide() -> str:
-    """Return a text of about twelve thousand tokens."""
+    """Return a text of about 12,000 tokens."""
     line = "Row {0}: sown in week {1}, watered each {2} days, due in week {3}.\n"
     rows = range(GUIDE_LINES)
     return "".join(line.format(i, i % 9, 1 + i % 4, 10 + i % 7) for i in rows)
@@ -37,7 +37,7 @@
 
 def ask(client: openai.OpenAI, profile: str, question: str) -> Answer:
     """Send one streamed request; raises openai.OpenAIError if it is refused."""
-    began = time.monotonic()
+    started = time.monotonic()
     first_token_s = 0.0
     parts: list[str] = []
     usage = None
@@ -55,7 +55,7 @@
         usage = chunk.usage or usage
         text = chunk.choices[0].delta.content if chunk.choices else None
         if text:
-            first_token_s = first_token_s or time.monotonic() - began
+            first_token_s = first_token_s or time.monotonic() - started
             parts.append(text)
     details = usage.prompt_tokens_details if usage else None
     cached = details.cached_tokens if details else None
@@ -64,7 +64,7 @@
 
 
 def show(question: str, answer: Answer) -> None:
-    """Print one answer and its figures."""
+    """Print an answer, the time to its first token and its cached tokens."""
     print(f"\n> {question}\n{answer.text}")
     print(
         f"  first token after {answer.first_token_s:.3f} s;"
@@ -73,20 +73,20 @@
 
 
 def main() -> int:
-    """Return 0 if both questions were answered."""
+    """Return 0 if both questions were answered, 1 if one was refused."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--url", default="http://127.0.0.1:8080")
     parser.add_argument("--profile", default="example")
     parser.add_argument("--key", default="local")
     args = parser.parse_args()
-    # The router tries again by itself; the client shall show what happened.
+    # The router retries by itself; retries of the client would hide refusals.
     client = openai.OpenAI(base_url=f"{args.url}/v1", api_key=args.key, max_retries=0)
     print(f"profile {args.profile!r} at {args.url}, two questions on one long text")
     try:
         for question in QUESTIONS:
             show(question, ask(client, args.profile, question))
     except openai.OpenAIError as exc:
-        print(f"refused: {exc}", file=sys.stderr)
+        print(f"request to {args.url} failed: {exc}", file=sys.stderr)
         return 1
     return 0
 
--- a/scripts/measure_changes.py
+++ b/scripts/measure_changes.py
@@ -1,6 +1,6 @@
-"""Print the resident memory of an entry while it takes many configurations.
+"""Print the resident memory of an entry while it receives many configurations.
 
-One stand-in peer hands it revisions of 1,800 workspaces.  Run it from the root:
+A simulated peer sends it revisions with 1,800 workspaces.  Run it from the root:
 PYTHONPATH=. python scripts/measure_changes.py [REVISIONS_A_SECOND SECONDS]
 """
 
@@ -24,7 +24,7 @@
 
 
 async def watch(subject: Subject, rate: float, seconds: float) -> None:
-    """Offer revisions and print the memory now and then."""
+    """Offer ``rate`` revisions a second and print the memory every ``SAMPLE_S``."""
     process = psutil.Process(subject.fleet.processes[subject.name].pid)
     loop = asyncio.get_running_loop()
     base = config(1, WORKSPACES, PROFILES)
@@ -43,7 +43,7 @@
 
 
 def main(rate: float = 10.0, seconds: float = 150.0) -> None:
-    """Start an entry and watch it."""
+    """Start an entry and measure it for ``seconds``."""
     with tempfile.TemporaryDirectory() as folder:
         with Subject("entry", pathlib.Path(folder, "site")) as subject:
             asyncio.run(watch(subject, rate, seconds))
--- a/scripts/measure_control.py
+++ b/scripts/measure_control.py
@@ -1,8 +1,8 @@
-"""Measures the control state: entries applied a second, and bytes of a snapshot.
+"""Measure the control state: log entries applied a second, and size of a snapshot.
 
 Run it from the root: ``PYTHONPATH=. python scripts/measure_control.py``.
-It applies changes and claims to a state in this process; nothing is written and
-nothing is sent, so the figures are the processor time of the state alone.
+It applies changes and claims to a state in this process and does no input or output,
+so the figures are the processor time of the state machine only.
 """
 
 from __future__ import annotations
@@ -31,64 +31,70 @@
 CLAIMS = 20_000
 GROUP_SIZES = (1, 16, 256)
 ANSWER_BYTES = 512
-PER = 1_000
+REPORT_PER = 1_000
 
 
 def main() -> None:
-    """Print one line for each figure."""
+    """Measure everything and print one line for each figure."""
     state = with_workspaces()
-    base = len(state.snapshot())
-    print(f"snapshot with {WORKSPACES} workspaces: {base} bytes")
+    base_bytes = len(state.snapshot())
+    print(f"snapshot with {WORKSPACES} workspaces: {base_bytes} bytes")
     seconds = timed(state, change_commands())
-    after = len(state.snapshot())
+    after_bytes = len(state.snapshot())
     print(f"changes of one workspace: {CHANGES / seconds:.0f}/s")
-    print(f"snapshot for each {PER} changes: {(after - base) * PER // CHANGES} bytes")
+    print(
+        f"snapshot for each {REPORT_PER} changes:"
+        f" {(after_bytes - base_bytes) * REPORT_PER // CHANGES} bytes"
+    )
     for size in GROUP_SIZES:
         measure_claims(size)
-    big = with_workspaces()
-    timed(big, claim_commands(256))
-    timed(big, finish_commands(256))
+    full = with_workspaces()
+    timed(full, claim_commands(256))
+    timed(full, finish_commands(256))
     started = time.perf_counter()
-    data = big.snapshot()
-    taken = time.perf_counter() - started
+    data = full.snapshot()
+    snapshot_s = time.perf_counter() - started
     started = time.perf_counter()
     ControlState().restore(data)
-    restored = time.perf_counter() - started
-    print(f"snapshot of {len(data)} bytes: {taken:.3f} s, restored in {restored:.3f} s")
+    restore_s = time.perf_counter() - started
+    print(
+        f"snapshot of {len(data)} bytes: {snapshot_s:.3f} s,"
+        f" restored in {restore_s:.3f} s"
+    )
     measure_memory()
 
 
 def measure_memory() -> None:
-    """Measure what claims take in memory, as their entries come from the log."""
+    """Measure the memory of claims that are applied from log entries."""
     state = ControlState(limits=Limits(claims=CLAIMS, claims_per_workspace=CLAIMS))
     claims, answers = claim_commands(256), finish_commands(256)
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     for name, commands in (("running", claims), ("finished", answers)):
         timed(state, commands)
-        grown = (tracemalloc.get_traced_memory()[0] - before) * PER // CLAIMS
-        print(f"memory for each {PER} {name} claims: {grown} bytes")
+        growth = (tracemalloc.get_traced_memory()[0] - before) * REPORT_PER // CLAIMS
+        print(f"memory for each {REPORT_PER} {name} claims: {growth} bytes")
     tracemalloc.stop()
 
 
 def measure_claims(size: int) -> None:
-    """Measure claims and their answers, ``size`` requests in an entry."""
+    """Measure claims and their answers, ``size`` requests in a log entry."""
     state = ControlState(limits=Limits(claims=CLAIMS, claims_per_workspace=CLAIMS))
     empty = len(state.snapshot())
     seconds = timed(state, claim_commands(size))
     print(f"claims, {size} in an entry: {CLAIMS / seconds:.0f}/s")
-    growth = (len(state.snapshot()) - empty) * PER // CLAIMS
-    print(f"snapshot for each {PER} running claims: {growth} bytes")
+    growth = (len(state.snapshot()) - empty) * REPORT_PER // CLAIMS
+    print(f"snapshot for each {REPORT_PER} running claims: {growth} bytes")
     seconds = timed(state, finish_commands(size))
     print(
         f"answers of {ANSWER_BYTES} bytes, {size} in an entry: {CLAIMS / seconds:.0f}/s"
     )
-    growth = (len(state.snapshot()) - empty) * PER // CLAIMS
-    print(f"snapshot for each {PER} finished claims: {growth} bytes")
+    growth = (len(state.snapshot()) - empty) * REPORT_PER // CLAIMS
+    print(f"snapshot for each {REPORT_PER} finished claims: {growth} bytes")
 
 
 def timed(state: ControlState, commands: list[bytes]) -> float:
-    """Apply ``commands`` and return the processor seconds that it took."""
+    """Apply ``commands`` and return the processor time in seconds."""
     started = time.process_time()
     for command in commands:
         state.apply(state.index + 1, command)
@@ -96,7 +102,7 @@
 
 
 def with_workspaces() -> ControlState:
-    """A state with as many workspaces as the design size."""
+    """Return a state with as many workspaces as the system is designed for."""
     limits = Limits(claims=CLAIMS, claims_per_workspace=CLAIMS)
     state = ControlState(limits=limits)
     edits = tuple(workspace_edit(number, 1.0) for number in range(WORKSPACES))
@@ -105,14 +111,14 @@
 
 
 def workspace_edit(number: int, share: float) -> Edit:
-    """Apply one workspace with one key."""
+    """Return an edit that applies a workspace with one key."""
     name = f"workspace-{number:04d}"
     workspace = Workspace(name, (f"{number:064x}",), share)
     return Edit(EditKind.APPLY_WORKSPACE, workspace=workspace)
 
 
 def change_commands() -> list[bytes]:
-    """Changes of one workspace each, one in an entry."""
+    """Return log entries with one change of one workspace each."""
     return [
         command(
             ChangeReq(
@@ -127,29 +133,29 @@
 
 
 def claim_commands(size: int) -> list[bytes]:
-    """Claims of different keys, ``size`` in an entry."""
+    """Return log entries with ``size`` claims each, all of different keys."""
     return [command(*group) for group in grouped(size, claim)]
 
 
 def finish_commands(size: int) -> list[bytes]:
-    """The answers to the same claims."""
+    """Return log entries with the answers to the same claims, ``size`` in each."""
     return [command(*group) for group in grouped(size, finish)]
 
 
 def grouped(size: int, make: Any) -> Iterator[list[Any]]:
-    """All requests in groups of ``size``."""
+    """Yield all requests in groups of ``size``."""
     for start in range(0, CLAIMS, size):
         yield [make(number) for number in range(start, min(CLAIMS, start + size))]
 
 
 def claim(number: int) -> ClaimReq:
-    """A claim as an entry sends it."""
+    """Return a claim as an entry sends it."""
     key = f"{number:032x}"
     return ClaimReq("workspace-0001", key, b"d" * 32, holder(number))
 
 
 def finish(number: int) -> FinishReq:
-    """An answer as an entry sends it."""
+    """Return an answer as an entry sends it."""
     headers = (("content-type", "application/json"),)
     body = b"x" * ANSWER_BYTES
     key = f"{number:032x}"
@@ -157,13 +163,13 @@
 
 
 def holder(number: int) -> Holder:
-    """The attempt that holds the claim."""
+    """Return the attempt that holds the claim."""
     incarnation = f"{number:024x}"
     return Holder(f"{number:032x}", 1, "bids-1", "10.0.0.1:8090", incarnation)
 
 
 def command(*requests: Any) -> bytes:
-    """One log entry."""
+    """Encode requests as one log entry."""
     return encode(Command(0.0, tuple(encode(req) for req in requests)))
 
 
--- a/scripts/measure_policies.py
+++ b/scripts/measure_policies.py
@@ -1,7 +1,7 @@
-"""Compare the router with plain policies in the model of many entries.
+"""Compare the affinity router with simpler policies in the routing model.
 
-All policies get the same requests of each seed.  ``warm_up_s=0`` shows the cold
-start of a whole fleet: no upstream holds anything, and no entry knows anything.
+For a seed, all policies get the same requests.  ``warm_up_s=0`` shows the cold start
+of a whole fleet: caches are empty, and entries have received no load reports.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     seeds: int = 3,
     warm_up_s: float = 12.0,
 ) -> None:
-    """Print the figures of each policy and load, as means over the seeds."""
+    """Print the figures of each policy and load factor, as means over the seeds."""
     for load_factor in load_factors:
         size = Size(warm_up_s=warm_up_s)
         size = replace(size, requests_per_s=size.requests_per_s * load_factor)
--- a/scripts/measure_replication.py
+++ b/scripts/measure_replication.py
@@ -1,6 +1,7 @@
-"""Measure proposals a second on three replicas in one process, with real files.
+"""Measure proposals a second with three replicas in one process, and real files.
 
-Arguments: seconds for each concurrency.  Prints one line for each.
+The argument is the time in seconds for each concurrency (default 5).  Prints one line
+for the idle replicas and one for each concurrency.
 """
 
 from __future__ import annotations
@@ -25,18 +26,18 @@
 
 
 class NullMachine:
-    """A state machine that costs nothing."""
+    """A state machine that does nothing, so that only replication is measured."""
 
     def apply(self, index: int, command: bytes) -> bytes:
-        """Answer with nothing."""
+        """Ignore the command."""
         return b""
 
     def snapshot(self) -> bytes:
-        """Return nothing."""
+        """Return an empty snapshot."""
         return b""
 
     def restore(self, data: bytes) -> None:
-        """Restore nothing."""
+        """Ignore the snapshot."""
 
 
 async def _start(folder: Path) -> list[tuple[Replica, RpcServer]]:
@@ -60,7 +61,7 @@
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
-async def _formed_leader(replicas: list[Replica]) -> Replica:
+async def _wait_for_healthy_leader(replicas: list[Replica]) -> Replica:
     while True:
         for replica in replicas:
             repairs = replica.status.repairs
@@ -72,10 +73,10 @@
 async def _propose_until(
     leader: Replica, deadline: float, times: list[float], failed: list[str]
 ) -> None:
-    while (begun := time.perf_counter()) < deadline:
+    while (started := time.perf_counter()) < deadline:
         answer = await leader.propose(COMMAND)
         if answer.is_ok():
-            times.append(time.perf_counter() - begun)
+            times.append(time.perf_counter() - started)
         else:
             failed.append(answer.unwrap_err().code)
 
@@ -83,18 +84,18 @@
 async def _measure(leader: Replica, concurrency: int, seconds: float) -> None:
     times: list[float] = []
     failed: list[str] = []
-    cpu = time.process_time()
+    cpu_before = time.process_time()
     deadline = time.perf_counter() + seconds
     async with asyncio.TaskGroup() as group:
         for _ in range(concurrency):
             group.create_task(_propose_until(leader, deadline, times, failed))
-    cpu = time.process_time() - cpu
+    cpu_s = time.process_time() - cpu_before
     times.sort()
     print(
         f"concurrency {concurrency}: {len(times) / seconds:.0f}/s,"
         f" median {times[len(times) // 2] * 1e3:.1f} ms,"
         f" 99% {times[len(times) * 99 // 100] * 1e3:.1f} ms,"
-        f" CPU of all three {cpu / len(times) * 1e6:.0f} us each,"
+        f" CPU of all three {cpu_s / len(times) * 1e6:.0f} us each,"
         f" failed {len(failed)}"
     )
 
@@ -102,11 +103,11 @@
 async def _main(seconds: float) -> None:
     with tempfile.TemporaryDirectory() as name:
         started = await _start(Path(name))
-        leader = await _formed_leader([replica for replica, _ in started])
-        cpu = time.process_time()
+        leader = await _wait_for_healthy_leader([replica for replica, _ in started])
+        cpu_before = time.process_time()
         await asyncio.sleep(seconds)
-        cpu = time.process_time() - cpu
-        print(f"idle: CPU of all three {cpu / seconds * 1e3:.1f} ms a second")
+        cpu_s = time.process_time() - cpu_before
+        print(f"idle: CPU of all three {cpu_s / seconds * 1e3:.1f} ms a second")
         for concurrency in CONCURRENCIES:
             await _measure(leader, concurrency, seconds)
         for replica, server in started:
--- a/scripts/routing_model.py
+++ b/scripts/routing_model.py
@@ -1,10 +1,10 @@
-"""A model of many entries and upstreams under one routing policy.
+"""Simulates many entries and upstreams under one routing policy.
 
-Plain arithmetic on simulated time, no processes and no messages: an upstream
-computes one prompt after the other and caches prefixes, least used out first; a
-reply reaches its entry with the first token, heartbeats with the load before.
-Requests share guides of workspaces, few of which are hot, and lots within them.  A
-run depends on nothing but its seed.
+The simulation computes on simulated time, without processes or messages.  An upstream
+computes one prompt after the other and caches prefixes, of which it evicts the least
+recently used.  A reply reaches its entry with the first token; heartbeats report the
+load until then.  Requests of a workspace share its guide, and some of them a lot after
+it; few workspaces get most of the requests.  The same seed gives the same result.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How many there are of each, and seconds; by default a fifth of the target."""
+    """Counts and durations of a simulation; defaults are a fifth of a full fleet."""
 
     upstreams: int = 148
     entries: int = 70
@@ -51,8 +51,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
-    """A way to refresh views: ``interval_s`` for all of it, in ``partitions``."""
+class RefreshMode:
+    """How entries receive load reports besides replies.
+
+    Each entry receives the load of all upstreams within ``interval_s``, in
+    ``partitions`` reports; with 0 partitions it receives none.
+    """
 
     name: str
     interval_s: float = 0.0
@@ -61,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request and the entry that it comes to."""
+    """A request, its arrival time and the entry that receives it."""
 
     at: float
     entry: int
@@ -70,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """Seconds to the first token, and the part of prompt tokens found cached."""
+    """Times to the first token, and the fraction of prompt tokens that were cached."""
 
     mean_s: float
     p95_s: float
@@ -91,7 +95,7 @@
 
 
 class Upstream:
-    """Computes one prompt after the other; caches prefixes, least used out first."""
+    """Computes one prompt after the other and caches prefixes (LRU)."""
 
     def __init__(self, record: UpstreamRecord) -> None:
         self.record = record
@@ -105,18 +109,19 @@
         return Load(queue_s=queue_s, prefill_tps=PREFILL_TPS)
 
     def serve(self, pieces: tuple[Piece, ...], now: float) -> tuple[float, int]:
-        """Take a prompt; return the time of its first token and tokens cached."""
+        """Queue a prompt; return the time of its first token and its cached tokens."""
         cached = 0
         for piece in itertools.takewhile(lambda p: p.chain in self._cache, pieces):
             cached += piece.tokens
         total = sum(piece.tokens for piece in pieces)
         begins_at = max(now, self._free_at)
         self._free_at = begins_at + (total - cached) / PREFILL_TPS
-        self._keep(pieces)
+        self._cache_prefix(pieces)
         return self._free_at, cached
 
-    def _keep(self, pieces: tuple[Piece, ...]) -> None:
-        # The outermost piece last, so that a prefix outlives what builds on it.
+    def _cache_prefix(self, pieces: tuple[Piece, ...]) -> None:
+        # The first piece becomes the most recently used, so that a prefix is evicted
+        # only after the pieces that follow it.
         for piece in reversed(pieces):
             if piece.chain not in self._cache:
                 self._cache[piece.chain] = piece.tokens
@@ -126,17 +131,21 @@
             self._cached_tokens -= self._cache.popitem(last=False)[1]
 
 
-REPLIES_ONLY = Way("replies only")
+REPLIES_ONLY = RefreshMode("replies only")
 
 
 class Run:
-    """One sequence of requests under one policy and one way of refreshing views."""
+    """Simulates one sequence of requests under one policy and refresh mode."""
 
     def __init__(
-        self, size: Size, seed: int, policy: str = "affinity", way: Way = REPLIES_ONLY
+        self,
+        size: Size,
+        seed: int,
+        policy: str = "affinity",
+        refresh: RefreshMode = REPLIES_ONLY,
     ) -> None:
         self._size = size
-        self._way = way
+        self._refresh_mode = refresh
         rng = random.Random(f"routers {seed}")
         self._upstreams = [Upstream(record) for record in records(size.upstreams)]
         self._by_name = {u.record.name: u for u in self._upstreams}
@@ -145,29 +154,29 @@
             make_policy(policy, random.Random(rng.random()))
             for _ in range(size.entries)
         ]
-        self._phases = [rng.random() for _ in range(size.entries)]
+        self._refresh_offsets = [rng.random() for _ in range(size.entries)]
         self._replies: list[tuple[float, int, int, Choice, int | None]] = []
-        self._serial = itertools.count()
-        self._waits: list[float] = []
-        self._cached = self._total = 0
+        self._reply_numbers = itertools.count()
+        self._first_token_times: list[float] = []
+        self._cached_prompt_tokens = self._prompt_tokens = 0
 
     def play(self, arrivals: list[Arrival]) -> Figures:
-        """Serve all arrivals; return the figures after the warm-up."""
+        """Serve all arrivals; return the figures of those after the warm-up."""
         refreshes = self._refreshes()
-        due = next(refreshes, None)
+        next_refresh = next(refreshes, None)
         for arrival in arrivals:
-            while due is not None and due[0] <= arrival.at:
-                self._refresh(*due)
-                due = next(refreshes, None)
-            self._answer(arrival.at)
+            while next_refresh is not None and next_refresh[0] <= arrival.at:
+                self._refresh(*next_refresh)
+                next_refresh = next(refreshes, None)
+            self._deliver_replies(arrival.at)
             self._serve(arrival)
-        self._waits.sort()
-        count = len(self._waits)
+        self._first_token_times.sort()
+        count = len(self._first_token_times)
         return Figures(
-            statistics.fmean(self._waits),
-            self._waits[int(count * 0.95)],
-            self._waits[int(count * 0.99)],
-            self._cached / self._total,
+            statistics.fmean(self._first_token_times),
+            self._first_token_times[int(count * 0.95)],
+            self._first_token_times[int(count * 0.99)],
+            self._cached_prompt_tokens / self._prompt_tokens,
         )
 
     def _serve(self, arrival: Arrival) -> None:
@@ -178,21 +187,23 @@
         upstream = self._by_name[choice.record.name]
         first_at, cached = upstream.serve(arrival.req.pieces, now + TRANSFER_S)
         reply_at = first_at + TRANSFER_S
-        self._reply(reply_at, arrival.entry, choice, cached)
+        self._schedule_reply(reply_at, arrival.entry, choice, cached)
         beat_at = now + HEARTBEAT_S
         while beat_at < reply_at:
-            self._reply(beat_at, arrival.entry, choice, None)
+            self._schedule_reply(beat_at, arrival.entry, choice, None)
             beat_at += HEARTBEAT_S
         if now >= self._size.warm_up_s:
-            self._waits.append(reply_at - now)
-            self._cached += cached
-            self._total += sum(piece.tokens for piece in arrival.req.pieces)
+            self._first_token_times.append(reply_at - now)
+            self._cached_prompt_tokens += cached
+            self._prompt_tokens += sum(piece.tokens for piece in arrival.req.pieces)
 
-    def _reply(self, at: float, entry: int, choice: Choice, cached: int | None) -> None:
-        reply = (at, next(self._serial), entry, choice, cached)
+    def _schedule_reply(
+        self, at: float, entry: int, choice: Choice, cached: int | None
+    ) -> None:
+        reply = (at, next(self._reply_numbers), entry, choice, cached)
         heapq.heappush(self._replies, reply)
 
-    def _answer(self, until: float) -> None:
+    def _deliver_replies(self, until: float) -> None:
         while self._replies and self._replies[0][0] <= until:
             at, _, entry, choice, cached = heapq.heappop(self._replies)
             load = self._by_name[choice.record.name].load(at - TRANSFER_S)
@@ -202,24 +213,26 @@
             self._routers[entry].observe(choice, frame, at)
 
     def _refreshes(self) -> Iterator[tuple[float, int, int]]:
-        """Yield time, entry and partition of each refresh, in order of time."""
-        if not self._way.partitions:
+        """Yield the time, entry and partition of each refresh, ordered by time."""
+        if not self._refresh_mode.partitions:
             return
-        step_s = self._way.interval_s / self._way.partitions
-        for turn in itertools.count():
-            partition = turn % self._way.partitions
-            order = sorted((phase, entry) for entry, phase in enumerate(self._phases))
-            for phase, entry in order:
-                yield (turn + phase) * step_s, entry, partition
+        step_s = self._refresh_mode.interval_s / self._refresh_mode.partitions
+        for step in itertools.count():
+            partition = step % self._refresh_mode.partitions
+            order = sorted(
+                (offset, entry) for entry, offset in enumerate(self._refresh_offsets)
+            )
+            for offset, entry in order:
+                yield (step + offset) * step_s, entry, partition
 
     def _refresh(self, at: float, entry: int, partition: int) -> None:
-        for upstream in self._upstreams[partition :: self._way.partitions]:
+        for upstream in self._upstreams[partition :: self._refresh_mode.partitions]:
             load = upstream.load(at - TRANSFER_S)
             self._routers[entry].observe_load(upstream.record, load, at)
 
 
 def records(count: int) -> list[UpstreamRecord]:
-    """Return the upstreams of one pool over the zones."""
+    """Return the upstreams of one pool, spread over the zones."""
     return [
         UpstreamRecord(
             name=f"upstream-{number}",
@@ -237,7 +250,11 @@
 
 
 def draw(size: Size, seed: int) -> list[Arrival]:
-    """Return the arrivals of one seed: few workspaces are hot, and these change."""
+    """Return the arrivals of a seed.
+
+    Few workspaces get most of the requests; which ones changes every
+    ``HOT_SHIFT_S`` seconds.
+    """
     rng = random.Random(f"arrivals {seed}")
     weights = [1 / (rank + 1) for rank in range(size.workspaces)]
     ranked = list(range(size.workspaces))
@@ -263,9 +280,9 @@
 
 
 def prompt(workspace: int, lot: int, question: bytes) -> tuple[Piece, ...]:
-    """Return a guide of several pieces, a lot and a question that is new."""
+    """Return a guide of several pieces, a lot and a new question."""
     names = [f"{workspace}/{number}" for number in range(GUIDE_PIECES)]
     names.append(f"{workspace}/lot/{lot}")
     tokens = [PIECE_TOKENS] * GUIDE_PIECES + [LOT_TOKENS]
-    known = [Piece(name.encode().rjust(16), t) for name, t in zip(names, tokens)]
-    return (*known, Piece(question, QUESTION_TOKENS))
+    shared = [Piece(name.encode().rjust(16), t) for name, t in zip(names, tokens)]
+    return (*shared, Piece(question, QUESTION_TOKENS))
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,7 +1,8 @@
 """Run every test suite and print one closing line, ``N passed, N failed``.
 
-Runs pytest (units, randomised state machines) and behave (features on processes) beside
-each other, reads their reports, and passes over only what KNOWN-RED.txt lists.
+Runs pytest (unit tests and randomised state machines) and behave (features with real
+processes) in parallel, and reads their reports.  Fails if any test fails that
+KNOWN-RED.txt doesn't list.
 """
 
 from __future__ import annotations
@@ -20,61 +21,61 @@
 FEATURE_GROUPS = 3
 
 SUITE_BOUND_S = 1_800.0
-"""The longest suite takes ten minutes on a busy machine; a run without an end tells
-nothing at all."""
+"""The longest suite takes ten minutes on a busy machine.  A suite that hangs must be
+killed, since otherwise no outcome at all is reported."""
 
-NOT_ENDED = 124
-"""Exit code of a suite that was ended at its bound."""
+TIMEOUT_EXIT_CODE = 124
+"""Exit code reported for a suite that was killed after its time limit."""
 
-_printing = threading.Lock()
+_print_lock = threading.Lock()
 
 
 def known_red() -> set[str]:
-    """Names of tests that are listed as red, one a line before the first colon."""
+    """Return the listed tests; a line's test name ends at its first colon."""
     if not KNOWN_RED.exists():
         return set()
     lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
     names = {line.split(":")[0].strip() for line in lines if line}
     if len(names) > KNOWN_RED_LIMIT:
-        sys.exit(f"KNOWN-RED.txt lists {len(names)} tests; {KNOWN_RED_LIMIT} at most")
+        sys.exit(f"KNOWN-RED.txt lists {len(names)} tests, more than {KNOWN_RED_LIMIT}")
     return names
 
 
 def outcomes(report_dir: pathlib.Path) -> dict[str, bool]:
-    """Map each test that ran to whether it passed."""
-    found: dict[str, bool] = {}
+    """Map each reported test to whether it passed; skipped counts as failed."""
+    passed: dict[str, bool] = {}
     for path in sorted(report_dir.rglob("*.xml")):
         for case in ElementTree.parse(path).iter("testcase"):
             name = f"{case.get('classname')} {case.get('name')}"
-            bad = case.find("failure") is not None or case.find("error") is not None
-            found[name] = not bad and case.find("skipped") is None
-    return found
+            failed = case.find("failure") is not None or case.find("error") is not None
+            passed[name] = not failed and case.find("skipped") is None
+    return passed
 
 
 def features_in_groups() -> list[list[str]]:
-    """Feature files in groups that run beside each other."""
+    """Split the feature files into groups that run in parallel."""
     names = sorted(str(path) for path in (ROOT / "features").glob("*.feature"))
     return [names[start::FEATURE_GROUPS] for start in range(FEATURE_GROUPS)]
 
 
 def commands(reports: pathlib.Path) -> dict[pathlib.Path, list[str]]:
-    """The suites by the folder that takes the report of each."""
+    """Return the command of each suite by the folder of its report."""
     python, units = sys.executable, reports / "units"
-    found = {units: [python, "-m", "pytest", f"--junitxml={units}/units.xml"]}
+    suites = {units: [python, "-m", "pytest", f"--junitxml={units}/units.xml"]}
     behave = [python, "-m", "behave", "-f", "progress", "--no-capture", "--junit"]
     for number, files in enumerate(features_in_groups()):
         folder = reports / f"features-{number}"
-        found[folder] = [*behave, "--junit-directory", str(folder), *files]
-    return found
+        suites[folder] = [*behave, "--junit-directory", str(folder), *files]
+    return suites
 
 
-def run(
+def run_suite(
     command: list[str], folder: pathlib.Path, bound_s: float = SUITE_BOUND_S
 ) -> int:
-    """Run one suite; its output is shown once it has ended, or was ended.
+    """Run one suite, print its output once it has ended, and return its exit code.
 
-    The output goes to a file: the end of a pipe would be waited for as long as any
-    process that a test left behind holds it open.
+    The output goes to a file rather than a pipe.  Reading a pipe would wait for every
+    process that a test left running, since those inherit the pipe.
     """
     folder.mkdir()
     path = folder / "output.txt"
@@ -87,36 +88,36 @@
         except subprocess.TimeoutExpired:
             suite.kill()
             suite.wait()
-            code = NOT_ENDED
-    with _printing:
+            code = TIMEOUT_EXIT_CODE
+    with _print_lock:
         print("$", *command[2:], flush=True)
         sys.stdout.buffer.write(path.read_bytes())
-        if code == NOT_ENDED:
+        if code == TIMEOUT_EXIT_CODE:
             print(f"FAILED: the suite has not ended within {bound_s:.0f} s")
         sys.stdout.flush()
     return code
 
 
 def main() -> int:
-    """Return 0 only if every suite ran and only listed tests failed."""
+    """Return 0 if every suite ended normally and only listed tests failed."""
     red = known_red()
     with tempfile.TemporaryDirectory() as tmp:
         suites = commands(pathlib.Path(tmp))
         with concurrent.futures.ThreadPoolExecutor(len(suites)) as pool:
-            codes = list(pool.map(run, suites.values(), suites))
+            codes = list(pool.map(run_suite, suites.values(), suites))
         reports = [outcomes(folder) for folder in suites]
     failed = [name for report in reports for name, ok in report.items() if not ok]
     passed = sum(len(report) for report in reports) - len(failed)
     unlisted = [name for name in failed if name not in red]
     for name in failed:
         print("known red:" if name in red else "FAILED:", name)
-    broken = any(is_broken(c, r) for c, r in zip(codes, reports, strict=True))
+    abnormal = any(ended_abnormally(c, r) for c, r in zip(codes, reports, strict=True))
     print(f"{passed} passed, {len(failed)} failed", flush=True)
-    return 1 if unlisted or broken else 0
+    return 1 if unlisted or abnormal else 0
 
 
-def is_broken(code: int, report: dict[str, bool]) -> bool:
-    """Whether a suite ended in another way than by the outcomes of its tests."""
+def ended_abnormally(code: int, report: dict[str, bool]) -> bool:
+    """Whether the exit code doesn't follow from the outcomes of the suite's tests."""
     if not report or code not in (0, 1):
         return True
     return code == 1 and all(report.values())
--- a/scripts/slope_mesh.py
+++ b/scripts/slope_mesh.py
@@ -1,7 +1,8 @@
-"""Print what the mesh costs for each record, heartbeat and try to connect.
+"""Print how the costs of the mesh grow with records, sessions and connect attempts.
 
-Both ends of the sessions run in this process, so the processor time printed is
-that of both ends together.  Run it on an idle machine: PYTHONPATH=. python
+For each cost it prints the points and the straight line through them (fixed cost and
+slope).  Both ends of the sessions run in this process, so the processor time is that
+of both ends together.  Run it on an idle machine: PYTHONPATH=. python
 scripts/slope_mesh.py
 """
 
@@ -38,7 +39,7 @@
 WORKSPACES = (8, 450, 900, 1800)
 ROUNDS = 20
 IDLE_S = 6.0
-TRY_S = 5.0
+CONNECT_WINDOW_S = 5.0
 RESTARTS = 5
 DOWN_S = 2.0
 TOKEN = "slope"
@@ -46,7 +47,7 @@
 
 
 def records(count: int, seq: int, rng: random.Random) -> list[UpstreamRecord]:
-    """Records of about the size that sidecars announce."""
+    """Return records of about the size of those that sidecars announce."""
     return [
         UpstreamRecord(
             name=f"engine-{n:04d}",
@@ -67,26 +68,26 @@
 
 
 def line(sizes: tuple[int, ...], costs: list[float]) -> str:
-    """The straight line through the points, as fixed part and slope."""
-    slope, fixed = statistics.linear_regression(sizes, costs)
-    return f"fixed {fixed:.2f}, slope {slope:.3f}"
+    """Format the straight line through the points as fixed cost and slope."""
+    slope, intercept = statistics.linear_regression(sizes, costs)
+    return f"fixed {intercept:.2f}, slope {slope:.3f}"
 
 
 def report(title: str, sizes: tuple[int, ...], costs: list[float]) -> None:
-    """Print the points and the line."""
+    """Print the points and the straight line through them."""
     points = ", ".join(f"{size}: {cost:.1f}" for size, cost in zip(sizes, costs))
     print(f"{title}\n  {points}\n  {line(sizes, costs)}", flush=True)
 
 
 def timed(work: Callable[[], object]) -> float:
-    """Processor time of ``work`` in microseconds."""
+    """Return the processor time of ``work`` in microseconds."""
     before = time.process_time()
     work()
     return (time.process_time() - before) * MICRO
 
 
-class Pair:
-    """A serving node and clients that keep sessions to it."""
+class ServerAndClients:
+    """A mesh server and clients that each keep a session to it."""
 
     def __init__(self, clients: int, role: str = "entry") -> None:
         self.rng = random.Random(1)
@@ -101,7 +102,7 @@
         return MeshNode(identity, Directory(), ConfigStore())
 
     async def start(self) -> None:
-        """Open all sessions and wait for them."""
+        """Open all sessions and wait until they are connected."""
         self.mesh_server.register(self.rpc)
         await self.rpc.start()
         for node in [self.server, *self.nodes]:
@@ -115,7 +116,7 @@
             await asyncio.sleep(0.01)
 
     async def close(self) -> None:
-        """End all sessions."""
+        """Close all sessions and both ends."""
         for client in self.clients:
             await client.close()
         self.mesh_server.close()
@@ -125,38 +126,38 @@
 
 
 async def renewal_cost(count: int) -> float:
-    """Processor time of one round of ``count`` renewals over one session, µs."""
-    pair = Pair(1)
-    await pair.start()
+    """Return the processor time of ``count`` renewals over one session in µs."""
+    mesh = ServerAndClients(1)
+    await mesh.start()
     loop = asyncio.get_running_loop()
-    base = records(count, 1, pair.rng)
-    source, target = pair.nodes[0].directory, pair.server.directory
+    base = records(count, 1, mesh.rng)
+    source, target = mesh.nodes[0].directory, mesh.server.directory
     costs = []
     for seq in range(1, ROUNDS + 2):
         before = time.process_time()
-        for one in base:
-            source.offer(replace(one, seq=seq), loop.time())
+        for record in base:
+            source.offer(replace(record, seq=seq), loop.time())
         while target.version < count * seq:
             await asyncio.sleep(0.01)
         costs.append((time.process_time() - before) * MICRO)
-    await pair.close()
+    await mesh.close()
     return statistics.median(costs[1:])
 
 
 async def idle_cost(count: int) -> float:
-    """Processor time of ``count`` idle sessions in a second, µs."""
-    pair = Pair(count)
-    await pair.start()
+    """Return the processor time of ``count`` idle sessions in µs/s."""
+    mesh = ServerAndClients(count)
+    await mesh.start()
     await asyncio.sleep(1)
     before = time.process_time()
     await asyncio.sleep(IDLE_S)
     cost = (time.process_time() - before) * MICRO / IDLE_S
-    await pair.close()
+    await mesh.close()
     return cost
 
 
-async def try_cost(count: int) -> float:
-    """Processor time that ``count`` clients of a dead address spend a second, µs."""
+async def connect_cost(count: int) -> float:
+    """Return the processor time of ``count`` clients of a closed port in µs/s."""
     with socket.socket() as unused:
         unused.bind(("127.0.0.1", 0))
         address = f"127.0.0.1:{unused.getsockname()[1]}"
@@ -168,62 +169,64 @@
             await client.start()
         await asyncio.sleep(1)
         before = time.process_time()
-        await asyncio.sleep(TRY_S)
-        cost = (time.process_time() - before) * MICRO / TRY_S
+        await asyncio.sleep(CONNECT_WINDOW_S)
+        cost = (time.process_time() - before) * MICRO / CONNECT_WINDOW_S
         for client in clients:
             await client.close()
         await node.close()
     return cost
 
 
-async def recovery(count: int) -> float:
-    """Longest of some times from a server's start to its last session, in ms."""
-    pair = Pair(count)
-    await pair.start()
-    address = f"127.0.0.1:{pair.rpc.port}"
+async def reconnect_ms(count: int) -> float:
+    """Return the longest time from a restart to the last open session in ms."""
+    mesh = ServerAndClients(count)
+    await mesh.start()
+    address = f"127.0.0.1:{mesh.rpc.port}"
     loop = asyncio.get_running_loop()
     longest = 0.0
     for _ in range(RESTARTS):
-        pair.mesh_server.close()
-        await pair.rpc.close()
+        mesh.mesh_server.close()
+        await mesh.rpc.close()
         await asyncio.sleep(DOWN_S)
-        pair.mesh_server = MeshServer(pair.server)
-        pair.rpc = RpcServer(address, TOKEN)
-        pair.mesh_server.register(pair.rpc)
+        mesh.mesh_server = MeshServer(mesh.server)
+        mesh.rpc = RpcServer(address, TOKEN)
+        mesh.mesh_server.register(mesh.rpc)
         started = loop.time()
-        await pair.rpc.start()
-        while len(pair.server.peers()) < count:
+        await mesh.rpc.start()
+        while len(mesh.server.peers()) < count:
             await asyncio.sleep(0.005)
         longest = max(longest, loop.time() - started)
-    await pair.close()
+    await mesh.close()
     return longest * 1000
 
 
 def offer_cost(count: int) -> float:
-    """Processor time of taking ``count`` renewals into a directory, µs."""
+    """Return the processor time of adding ``count`` renewals to a directory in µs."""
     directory = Directory()
     base = records(count, 1, random.Random(1))
     costs = []
     for seq in range(1, ROUNDS + 2):
-        renewed = [replace(one, seq=seq) for one in base]
-        costs.append(timed(lambda: [directory.offer(one, 0.0) for one in renewed]))
+        renewed = [replace(record, seq=seq) for record in base]
+        costs.append(
+            timed(lambda: [directory.offer(record, 0.0) for record in renewed])
+        )
     return statistics.median(costs[1:])
 
 
 def ready_cost(count: int) -> float:
-    """Processor time of 10,000 reads of the ready upstreams, µs."""
+    """Return the processor time of 10,000 reads of the ready upstreams in µs."""
     directory = Directory()
-    for one in records(count, 1, random.Random(1)):
-        directory.offer(one, 0.0)
+    for record in records(count, 1, random.Random(1)):
+        directory.offer(record, 0.0)
     return timed(lambda: [directory.ready("completions", 1.0) for _ in range(10_000)])
 
 
 def memory_cost(count: int) -> float:
-    """Memory of a directory with ``count`` records, in bytes."""
+    """Return the memory of a directory with ``count`` records in bytes."""
     tracemalloc.start()
     directory = Directory()
-    for one in records(count, 1, random.Random(1)):
-        directory.offer(one, 0.0)
+    for record in records(count, 1, random.Random(1)):
+        directory.offer(record, 0.0)
     directory.ready("completions", 1.0)
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
@@ -231,23 +234,25 @@
 
 
 def record_bytes(count: int) -> float:
-    """Bytes of one message with ``count`` records."""
+    """Return the size of a message with ``count`` records in bytes."""
     batch = tuple(records(count, 1000, random.Random(1)))
     return len(encode(Announce(batch, sent_at=12345.678, echo_at=23456.789)))
 
 
 def config_bytes(count: int) -> float:
-    """Bytes of a configuration of ``count`` workspaces with two keys each."""
+    """Return the size of a configuration of ``count`` workspaces in bytes."""
     keys = ("a" * 64, "b" * 64)
-    spaces = {f"workspace-{n}": Workspace(f"workspace-{n}", keys) for n in range(count)}
-    return len(encode(ConfigOffer(Config(revision=1, workspaces=spaces))))
+    workspaces = {
+        f"workspace-{n}": Workspace(f"workspace-{n}", keys) for n in range(count)
+    }
+    return len(encode(ConfigOffer(Config(revision=1, workspaces=workspaces))))
 
 
 async def main() -> None:
-    """Measure and print all slopes."""
+    """Measure all costs and print their lines."""
     logger.remove()
-    beat = encode(RevisionAck("engine-0001", 1600, 12345.678, 23456.789))
-    print(f"heartbeat: {len(beat)} bytes")
+    heartbeat = encode(RevisionAck("engine-0001", 1600, 12345.678, 23456.789))
+    print(f"heartbeat: {len(heartbeat)} bytes")
     report("announcement, bytes by records", SIZES, [record_bytes(n) for n in SIZES])
     report(
         "configuration, bytes by workspaces",
@@ -255,16 +260,20 @@
         [*map(config_bytes, WORKSPACES)],
     )
     report("directory, bytes of memory by records", SIZES, [*map(memory_cost, SIZES)])
-    report("renewals taken in, µs by records", SIZES, [*map(offer_cost, SIZES)])
+    report("renewals added, µs by records", SIZES, [*map(offer_cost, SIZES)])
     report("10,000 reads of ready, µs by records", SIZES, [*map(ready_cost, SIZES)])
     costs = [await renewal_cost(n) for n in SIZES]
     report("renewals over a session, both ends, µs by records", SIZES, costs)
     costs = [await idle_cost(n) for n in SESSIONS]
     report("idle sessions, both ends, µs a second by sessions", SESSIONS, costs)
-    costs = [await try_cost(n) for n in SESSIONS]
-    report("tries on a dead address, µs a second by clients", SESSIONS, costs)
-    times = [await recovery(n) for n in SESSIONS]
-    report("longest time to the last session after a start, ms", SESSIONS, times)
+    costs = [await connect_cost(n) for n in SESSIONS]
+    report("connect attempts to a closed port, µs a second by clients", SESSIONS, costs)
+    times = [await reconnect_ms(n) for n in SESSIONS]
+    report(
+        "longest time from a restart to the last session, ms by sessions",
+        SESSIONS,
+        times,
+    )
 
 
 if __name__ == "__main__":
--- a/scripts/slope_messages.py
+++ b/scripts/slope_messages.py
@@ -1,8 +1,8 @@
-"""Print the bytes of messages, and the processor time of their codec, by size.
+"""Print how messages' bytes, and the processor time of their codec, grow with size.
 
-Run it from the root: PYTHONPATH=. python scripts/slope_messages.py.  Nothing is
-sent.  Forms that the product does not use yet are marked "not built": they are
-encoded here by hand, to work out what they would cost.
+Run it from the root: PYTHONPATH=. python scripts/slope_messages.py.  Nothing is sent.
+Message formats marked "not built" don't exist in the product; this script encodes
+them itself to show what they would cost.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 
 def cpu_us(work: Callable[[], object]) -> float:
-    """Median processor time of ``work`` in microseconds."""
+    """Return the median processor time of ``work`` in microseconds."""
     costs = []
     for _ in range(REPEATS):
         before = time.process_time()
@@ -71,48 +71,52 @@
 
 
 def measure(title: str, sizes: tuple[int, ...], build: Build) -> None:
-    """Report the bytes of what ``build`` returns."""
+    """Report the size of the messages that ``build`` returns."""
     report(f"{title}, bytes", sizes, [float(len(build(size))) for size in sizes])
 
 
 def config(workspaces: int, profiles: int = 9) -> Config:
-    """A configuration with two keys for each workspace."""
+    """Return a configuration with two keys for each workspace."""
     keys = ("a" * 64, "b" * 64)
     names = [f"workspace-{n}" for n in range(workspaces)]
-    kinds = [f"profile-{n}" for n in range(profiles)]
+    profile_names = [f"profile-{n}" for n in range(profiles)]
     return Config(
         revision=1_600,
         profiles={
             name: Profile(name, ProfileKind.COMPLETION, "engines", "model-a")
-            for name in kinds
+            for name in profile_names
         },
         workspaces={name: Workspace(name, keys) for name in names},
     )
 
 
 def config_of_workspaces(count: int) -> bytes:
-    """A whole configuration."""
+    """Encode a configuration with ``count`` workspaces."""
     return encode(ConfigOffer(config(count)))
 
 
 def config_of_profiles(count: int) -> bytes:
-    """A whole configuration without workspaces."""
+    """Encode a configuration with ``count`` profiles and no workspaces."""
     return encode(ConfigOffer(config(0, count)))
 
 
 def config_changes(count: int) -> bytes:
-    """Only the workspaces that changed."""
+    """Encode a configuration that holds only ``count`` changed workspaces."""
     return encode(ConfigOffer(config(count, 0)))
 
 
 def announcement(count: int) -> bytes:
-    """Whole records."""
+    """Encode an announcement of ``count`` complete records."""
     batch = tuple(records(count, 1_000, random.Random(1)))
     return encode(Announce(batch, sent_at=12345.678, echo_at=23456.789))
 
 
 def short_renewals(count: int) -> bytes:
-    """A hash for name, incarnation and content, a sequence number and the lease."""
+    """Encode renewals that replace the record by its hash.
+
+    A row holds a hash of name, incarnation and content, the sequence number and the
+    lease.
+    """
     rng = random.Random(1)
     rows = [
         (rng.randbytes(NAME_HASH_BYTES), 100_000 + n, LEASE_S) for n in range(count)
@@ -121,18 +125,18 @@
 
 
 def load_view(count: int) -> bytes:
-    """Each upstream's index, running, queued, wait in ms and rate, by position."""
+    """Encode each upstream's index, running, queued, wait in ms and rate."""
     rows = [(n, 16, 3, 250, 20_000) for n in range(count)]
     return msgspec.msgpack.encode(("Loads", rows))
 
 
 def chunk(count: int) -> bytes:
-    """One frame with ``count`` events."""
+    """Encode a chunk with ``count`` events."""
     return encode(Chunk(REQUEST_ID, 1, INCARNATION, 100, (EVENT,) * count))
 
 
 def dispatch(count: int) -> bytes:
-    """A dispatch without its body."""
+    """Encode a dispatch with ``count`` pieces and an empty body."""
     pieces = tuple(Piece(random.Random(n).randbytes(16), 4_000) for n in range(count))
     return encode(
         DispatchReq(
@@ -151,7 +155,7 @@
 
 
 def answer(count: int) -> bytes:
-    """The recorded answer of a call with a key."""
+    """Encode the answer to a call with an idempotency key, ``count`` bytes long."""
     headers = (("content-type", "application/json"),)
     return encode(
         FinishReq("workspace-0001", REQUEST_ID, holder(), 200, headers, b"x" * count)
@@ -159,28 +163,28 @@
 
 
 def holder() -> Holder:
-    """The attempt that holds a claim."""
+    """Return the attempt that holds a claim."""
     return Holder(REQUEST_ID, 1, "bids-1", "10.0.0.1:8090", INCARNATION)
 
 
-def timed(title: str, sizes: tuple[int, ...], build: Build) -> None:
-    """Report what decoding costs."""
+def measure_decoding(title: str, sizes: tuple[int, ...], build: Build) -> None:
+    """Report the processor time of decoding."""
     encoded = {size: build(size) for size in sizes}
     costs = [cpu_us(lambda: decode(encoded[size])) for size in sizes]
     report(f"{title}, decoding, µs", sizes, costs)
 
 
-def timed_encoding(title: str, sizes: tuple[int, ...], build: Build) -> None:
-    """Report what encoding costs."""
+def measure_encoding(title: str, sizes: tuple[int, ...], build: Build) -> None:
+    """Report the processor time of encoding."""
     messages = {size: decode(build(size)) for size in sizes}
     costs = [cpu_us(lambda: encode(messages[size])) for size in sizes]
     report(f"{title}, encoding, µs", sizes, costs)
 
 
 def main() -> None:
-    """Print all lines."""
-    beat = encode(RevisionAck("engine-0001", 1_600, 12345.678, 23456.789))
-    print(f"heartbeat of a session: {len(beat)} bytes")
+    """Measure all messages and print a line for each."""
+    heartbeat = encode(RevisionAck("engine-0001", 1_600, 12345.678, 23456.789))
+    print(f"heartbeat of a session: {len(heartbeat)} bytes")
     claim = encode(ClaimReq("workspace-0001", REQUEST_ID, b"d" * 32, holder()))
     print(f"claim: {len(claim)} bytes")
     measure("announcement, by records", RECORDS, announcement)
@@ -191,11 +195,11 @@
     measure("changes of a configuration (not built)", CHANGED, config_changes)
     measure("chunk, by events", EVENTS, chunk)
     measure("dispatch without body, by pieces", PIECES, dispatch)
-    measure("answer kept with a claim, by its bytes", ANSWERS, answer)
-    timed("configuration, by workspaces", WORKSPACES, config_of_workspaces)
-    timed_encoding("configuration, by workspaces", WORKSPACES, config_of_workspaces)
-    timed("announcement, by records", RECORDS, announcement)
-    timed("chunk, by events", EVENTS, chunk)
+    measure("answer stored with a claim, by its bytes", ANSWERS, answer)
+    measure_decoding("configuration, by workspaces", WORKSPACES, config_of_workspaces)
+    measure_encoding("configuration, by workspaces", WORKSPACES, config_of_workspaces)
+    measure_decoding("announcement, by records", RECORDS, announcement)
+    measure_decoding("chunk, by events", EVENTS, chunk)
 
 
 if __name__ == "__main__":
--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -1,8 +1,8 @@
-"""Run the randomised tests again and again, with new seeds, for a given time.
+"""Run the randomised tests repeatedly, with new seeds, for a given time.
 
 Usage: ``python scripts/soak.py --minutes 30``.  Each round prints the seed that
-repeats it.  The first failing round ends the run with its exit code; a round that
-the end of the time cuts off counts as not finished, not as passed.
+reproduces it.  The first failing round ends the run with its exit code.  A round that
+is still running at the end of the time is stopped and doesn't count as passed.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def run_round(seed: int, left_s: float) -> int | None:
-    """Run all randomised tests once; None if the time ended first."""
+    """Run all randomised tests once; return None if ``left_s`` seconds passed first."""
     print(f"round with --hypothesis-seed={seed}", flush=True)
     env = {**os.environ, "HYPOTHESIS_PROFILE": "soak"}
     command = [*PYTEST, f"--hypothesis-seed={seed}"]
@@ -33,7 +33,7 @@
 
 
 def main() -> int:
-    """Return 0 if no round failed and at least one was finished."""
+    """Return 0 if no round failed and at least one finished."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--minutes", type=float, default=10.0)
     end = time.monotonic() + parser.parse_args().minutes * SECONDS_A_MINUTE
@@ -41,10 +41,12 @@
     while time.monotonic() < end:
         code = run_round(random.randrange(MAX_SEED), end - time.monotonic())
         if code is None:
-            print("the time ended within a round, which is not counted")
+            print(
+                "stopped an unfinished round at the end of the time; it is not counted"
+            )
             break
         if code != 0:
-            print(f"a round failed after {finished} passed")
+            print(f"a round failed with exit code {code} after {finished} passed")
             return code
         finished += 1
     print(f"{finished} rounds passed")
--- a/tests/builders_fleet.py
+++ b/tests/builders_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of gateways that tell each other of work over datagrams kept in memory."""
+"""Gateways that report their work to each other over an in-memory network."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.peer_loads import PeerLoads, UpstreamWork
 
-WAY_S = 0.001
+DATAGRAM_DELAY_S = 0.001
 
 
 class Net:
-    """Carries datagrams; counts who sends how many, and the bytes between zones."""
+    """Delivers datagrams; counts those of each sender and the bytes between zones."""
 
     def __init__(self) -> None:
         self.nodes: dict[str, Node] = {}
@@ -27,7 +27,7 @@
         self.bytes_between_zones = 0
 
     def carry(self, source: Node, data: bytes, address: str) -> None:
-        """One datagram on its way."""
+        """Deliver a datagram after a delay; nodes that are down send and get none."""
         target = self.nodes[address]
         if not source.up:
             return
@@ -36,12 +36,14 @@
             self.bytes_between_zones += len(data)
         if target.up:
             loop = asyncio.get_running_loop()
-            loop.call_later(WAY_S, target.datagrams.datagram_received, data, None)
+            loop.call_later(
+                DATAGRAM_DELAY_S, target.datagrams.datagram_received, data, None
+            )
 
 
 @dataclass
-class Wire:
-    """Stands in for a node's transport."""
+class FakeTransport:
+    """Replaces a node's datagram transport; sends over a :class:`Net`."""
 
     net: Net
     node: Node
@@ -50,19 +52,19 @@
         self.net.carry(self.node, data, f"{address[0]}:{address[1]}")
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: there is no socket to close."""
 
 
 class MemoryDatagrams(GatewayDatagrams):
-    """Datagrams over a :class:`Net`."""
+    """Gateway datagrams that are sent over a :class:`Net`."""
 
-    def join(self, wire: Any) -> None:
-        self._transport = wire
+    def join(self, transport: Any) -> None:
+        self._transport = transport
 
 
 @dataclass
 class View:
-    """One gateway's own work, and what it heard of upstreams."""
+    """A gateway's own work, and what other gateways reported of upstreams."""
 
     work: dict[str, UpstreamWork] = field(default_factory=dict)
     dead: tuple[str, ...] = ()
@@ -87,7 +89,7 @@
 
 
 class Node:
-    """One gateway's part in telling."""
+    """A gateway that sends and receives reports of work."""
 
     def __init__(
         self, net: Net, peer: GatewayPeer, others: tuple[GatewayPeer, ...]
@@ -96,7 +98,7 @@
         fleet = Fleet(peer, others)
         self.view, self.loads = View(), PeerLoads()
         self.datagrams = MemoryDatagrams(peer.address, lambda: fleet)
-        self.datagrams.join(Wire(net, self))
+        self.datagrams.join(FakeTransport(net, self))
         self.gossip = WorkGossip(
             self.datagrams, peer.name, "1", self.loads, self.view, lambda: fleet
         )
@@ -114,8 +116,8 @@
         await self.gossip.close()
 
 
-def peers_of(gateways: int, zones: int) -> tuple[GatewayPeer, ...]:
-    """Gateways in zones; the first one of each zone has a wide link."""
+def make_peers(gateways: int, zones: int) -> tuple[GatewayPeer, ...]:
+    """Return gateways in zones; the first of each zone has ten times the bandwidth."""
     return tuple(
         GatewayPeer(
             name=f"g{n:03}",
@@ -128,25 +130,25 @@
 
 
 def fleet_of(net: Net, gateways: int, zones: int) -> list[Node]:
-    """Nodes that all know each other."""
-    peers = peers_of(gateways, zones)
+    """Return nodes, each of which has all others as peers."""
+    peers = make_peers(gateways, zones)
     return [
-        Node(net, peer, tuple(one for one in peers if one is not peer))
+        Node(net, peer, tuple(other for other in peers if other is not peer))
         for peer in peers
     ]
 
 
 async def work_for(nodes: list[Node], seconds: float, *, per_s: float) -> None:
-    """Each gateway's work changes ``per_s`` times a second, and ends as 1 request."""
+    """Change each gateway's work ``per_s`` times a second; end with one request."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     for number in itertools.count():
         if loop.time() >= end:
             break
-        for place, node in enumerate(nodes):
+        for index, node in enumerate(nodes):
             node.view.work["u"] = UpstreamWork("u", 1 + number % 2, number, number)
-            other = f"u{(number + place) % 40}"
-            node.view.work[other] = UpstreamWork(other, 1, number, number)
+            upstream = f"u{(number + index) % 40}"
+            node.view.work[upstream] = UpstreamWork(upstream, 1, number, number)
             node.gossip.changed()
         await asyncio.sleep(1.0 / per_s)
     for node in nodes:
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -1,8 +1,8 @@
-"""Callers for tests of the whole product: they send, check answers and keep count.
+"""Callers for tests of the whole product: they send requests and check the answers.
 
-A caller behaves as a careful client of the interface: it takes another entry when
-one can't be reached, attaches again to a stream whose connection broke, and sends a
-call again only where that is safe.  Every request ends in exactly one ending.
+A caller behaves as a well-written client of the interface.  It tries another entry when
+one can't be reached, attaches again to a stream whose connection broke, and resends a
+call only where that can't run it twice.  Each request yields exactly one ``Ending``.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 def expected_text(messages: Messages) -> str:
-    """The whole answer that the example engine gives to ``messages``."""
+    """Return the whole answer that the example engine gives to ``messages``."""
     pairs = [(message["role"], message["content"]) for message in messages]
     digest = prompt_digest(msgspec.json.encode(pairs))
     length = answer_length(digest, SHORTEST_ANSWER, LONGEST_ANSWER)
@@ -40,7 +40,10 @@
 
 
 def nested_prompt(guide: int, lot: int, question: int, pieces: int = 2) -> Messages:
-    """A prompt of three levels; equal numbers give equal levels."""
+    """Return a prompt of a guide, a lot and a question.
+
+    Prompts with equal numbers share these texts, and thus the cached prefix.
+    """
     guide_text = f"guide {guide} ".ljust(12) * (PIECE_BYTES * pieces // 12)
     lot_text = f"lot {lot} ".ljust(12) * (PIECE_BYTES // 24)
     return [
@@ -54,8 +57,8 @@
 class Ending:
     """How one request ended.
 
-    ``kind`` is ``whole``, ``refused`` (a typed error), ``unknown`` (no answer at
-    all came) or ``wrong`` (an answer that is not the right one).
+    ``kind`` is ``whole`` (the expected answer), ``refused`` (an error response),
+    ``unknown`` (no complete answer arrived) or ``wrong`` (another answer).
     """
 
     kind: str
@@ -73,7 +76,7 @@
 
 @dataclass
 class _Progress:
-    """What a caller knows of a running request."""
+    """What a caller has received for a running request."""
 
     parts: list[str] = field(default_factory=list)
     request_ids: list[str] = field(default_factory=list)
@@ -89,7 +92,7 @@
 class Caller:
     """Sends requests of one workspace to any of several entries.
 
-    A connection on which nothing came for ``silence_s`` is given up.
+    A connection on which no bytes arrive for ``silence_s`` is closed.
     """
 
     def __init__(
@@ -102,7 +105,7 @@
     ) -> None:
         self._entries = list(entries)
         self._rng = random.Random(seed)
-        self._turn = itertools.count(self._rng.randrange(len(self._entries)))
+        self._entry_numbers = itertools.count(self._rng.randrange(len(self._entries)))
         self._client = httpx2.AsyncClient(
             timeout=httpx2.Timeout(silence_s, connect=2.0),
             headers={"Authorization": f"Bearer {key}"},
@@ -115,15 +118,15 @@
         """Close the connections."""
         await self._client.aclose()
 
-    def use(self, entries: Sequence[str]) -> None:
-        """Send to these entries from now on, as a balancer that watches them does."""
+    def use_entries(self, entries: Sequence[str]) -> None:
+        """Send to these entries from now on, as a load balancer would."""
         self._entries = list(entries)
 
     def _next_entry(self) -> str:
-        return self._entries[next(self._turn) % len(self._entries)]
+        return self._entries[next(self._entry_numbers) % len(self._entries)]
 
     async def stream(self, profile: str, messages: Messages) -> Ending:
-        """Ask for a streamed chat completion and check the whole answer."""
+        """Request a streamed chat completion and check the whole answer."""
         started = time.monotonic()
         progress = _Progress()
         body = {
@@ -163,7 +166,7 @@
             progress.request_ids.append(response.headers.get("x-request-id", ""))
             if response.status_code != 200:
                 await response.aread()
-                progress.error = _error_of(response)
+                progress.error = _error_body(response)
                 progress.retry_after = response.headers.get("retry-after", "")
                 return
             event_id = ""
@@ -171,7 +174,7 @@
                 if line.startswith("id:"):
                     event_id = line[3:].strip()
                 elif line.startswith("data:"):
-                    _take_event(progress, line[5:].strip(), started)
+                    _handle_event(progress, line[5:].strip(), started)
                     progress.last_event_id = event_id or progress.last_event_id
                     if progress.done or progress.error is not None:
                         return
@@ -179,7 +182,7 @@
             await response.aclose()
 
     async def plain(self, profile: str, messages: Messages) -> Ending:
-        """Ask for a chat completion in one body; sent again on a broken connection."""
+        """Request a chat completion in one body; resend it if the connection breaks."""
         started = time.monotonic()
         progress = _Progress()
         body = {"model": profile, "messages": messages}
@@ -195,10 +198,10 @@
     async def bid(
         self, profile: str, body: dict[str, Any], key: str = "", sends: int = 1
     ) -> Ending:
-        """Call a service that may not be repeated.
+        """Call a service whose calls must not run twice.
 
-        With an idempotency ``key`` the call is sent again, to another entry, after
-        a broken connection, at most ``sends`` times in all.
+        If the connection breaks, the call is sent to the next entry, up to ``sends``
+        times in all.  More than one is safe only with an idempotency ``key``.
         """
         started = time.monotonic()
         progress = _Progress()
@@ -218,7 +221,7 @@
         headers: dict[str, str] | None = None,
         sends: int = MAX_SENDS,
     ) -> httpx2.Response | None:
-        """Send until an entry answers; None if it refuses or none answers."""
+        """Send until an entry answers; return None if it refuses or none answers."""
         for _ in range(sends):
             url = self._next_entry() + path
             try:
@@ -230,12 +233,12 @@
             progress.request_ids.append(response.headers.get("x-request-id", ""))
             if response.status_code == 200:
                 return response
-            progress.error = _error_of(response)
+            progress.error = _error_body(response)
             progress.retry_after = response.headers.get("retry-after", "")
             return None
         return None
 
-    def _ending(self, progress: _Progress, wanted: str, started: float) -> Ending:
+    def _ending(self, progress: _Progress, expected: str, started: float) -> Ending:
         text = "".join(progress.parts)
         ending = Ending(
             kind="unknown",
@@ -254,12 +257,12 @@
             ending.not_run = progress.error.get("not_run")
             ending.detail = str(progress.error.get("message", ""))
         elif progress.done:
-            ending.kind = "whole" if text == wanted else "wrong"
+            ending.kind = "whole" if text == expected else "wrong"
         return ending
 
 
 class Load:
-    """Requests sent in the background, on a loop in a thread of its own."""
+    """Runs coroutines, such as those that send requests, on a background event loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -267,15 +270,15 @@
         self._thread.start()
 
     def run(self, coro: Coroutine[Any, Any, Any]) -> Any:
-        """Run one coroutine and return what it returns."""
+        """Run a coroutine and return its result."""
         return self.start(coro).result(4 * REQUEST_BOUND_S)
 
     def start(self, coro: Coroutine[Any, Any, Any]) -> Any:
-        """Start a coroutine; returns a concurrent future."""
+        """Start a coroutine; return a ``concurrent.futures.Future`` of its result."""
         return asyncio.run_coroutine_threadsafe(coro, self._loop)
 
     def close(self) -> None:
-        """Stop the loop."""
+        """Stop the event loop and its thread."""
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(5.0)
 
@@ -283,7 +286,7 @@
 async def mixed_load(
     caller: Caller, profile: str, count: int, every_s: float, seed: int = 0
 ) -> list[Ending]:
-    """Send ``count`` requests, one each ``every_s``, streamed and plain in turn."""
+    """Send ``count`` requests, one every ``every_s`` seconds; every third is plain."""
     rng = random.Random(seed)
     tasks = []
     for number in range(count):
@@ -294,7 +297,7 @@
     return list(await asyncio.gather(*tasks))
 
 
-def _take_event(progress: _Progress, data: str, started: float) -> None:
+def _handle_event(progress: _Progress, data: str, started: float) -> None:
     if data == "[DONE]":
         progress.done = True
         return
@@ -313,14 +316,14 @@
 
 
 def _cached_tokens(answer: dict[str, Any]) -> int:
-    """What an answer's usage says of its prompt's cached tokens."""
+    """Return the number of cached prompt tokens in an answer's usage."""
     return int(answer["usage"]["prompt_tokens_details"]["cached_tokens"])
 
 
-def _error_of(response: httpx2.Response) -> dict[str, Any]:
+def _error_body(response: httpx2.Response) -> dict[str, Any]:
     try:
         error = response.json()["error"]
     except (ValueError, KeyError):
-        return {"code": "", "message": f"untyped {response.status_code}"}
+        return {"code": "", "message": f"untyped error, status {response.status_code}"}
     assert isinstance(error, dict)
     return error
--- a/tests/certificates.py
+++ b/tests/certificates.py
@@ -1,4 +1,4 @@
-"""Makes a certificate authority and one certificate of a test's instances."""
+"""Creates a certificate authority and one certificate for the hosts of a test."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def write_certificates(folder: pathlib.Path, hosts: Iterable[str]) -> dict[str, str]:
-    """Write PEM files; return them as a table of settings."""
+    """Write PEM files; return their paths by the names of the TLS settings."""
     authority = trustme.CA()
     certificate = authority.issue_cert(*hosts)
     files = {
--- a/tests/clock.py
+++ b/tests/clock.py
@@ -1,7 +1,7 @@
-"""An event loop whose clock stands still and jumps to the next timer.
+"""An event loop with a simulated clock, which jumps to the next timer when idle.
 
-For pure and in-memory tests only: nothing may wait for a socket, since time would
-run past it.
+For tests without real input and output only: the clock doesn't wait for a socket, so
+timeouts would expire before data arrives.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 
 
 class _JumpingSelector(selectors.SelectSelector):
-    """Instead of waiting, moves the clock forward by the time to wait."""
+    """Advances the simulated clock by the timeout instead of waiting."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = 0.0
 
     def select(self, timeout: float | None = None) -> list[Any]:
-        """Report what is ready; if nothing is, jump over ``timeout`` seconds."""
+        """Return ready events; if there are none, advance the clock by ``timeout``."""
         ready = super().select(0)
         if ready:
             return ready
         if timeout is None:
-            raise RuntimeError("all tasks wait and no timer is set; nothing can happen")
+            raise RuntimeError("deadlock: all tasks are waiting and no timer is set")
         self.now += max(timeout, 0.0)
         return []
 
 
 class PausedClockLoop(asyncio.SelectorEventLoop):
-    """Event loop with a clock that only moves when every task waits."""
+    """Event loop whose clock advances only while every task is waiting."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._clock_selector = _JumpingSelector()
+        super().__init__(self._clock_selector)
 
     def time(self) -> float:
-        """Seconds since the loop was made."""
-        return self._jumping.now
+        """Return the simulated seconds since the loop was created."""
+        return self._clock_selector.now
 
     def stall(self, seconds: float) -> None:
-        """Move the clock as if the process had been frozen for ``seconds``."""
-        self._jumping.now += seconds
+        """Advance the clock as if the process had been suspended for ``seconds``."""
+        self._clock_selector.now += seconds
 
 
 def run_paused(main: Coroutine[Any, Any, T]) -> T:
-    """Run ``main`` to its end on a fresh loop with a paused clock."""
+    """Run ``main`` to completion on a new :class:`PausedClockLoop`."""
     with asyncio.Runner(loop_factory=PausedClockLoop) as runner:
         return runner.run(main)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
-"""Hypothesis profiles: ``ci`` repeats exactly, ``soak`` looks further.
+"""Time limit of each test, and hypothesis profiles.
 
-Choose with the environment variable HYPOTHESIS_PROFILE.
+The profile ``ci`` runs the same examples each time; ``soak`` draws many random ones.
+The environment variable HYPOTHESIS_PROFILE selects the profile.
 """
 
 import os
@@ -12,12 +13,17 @@
 from tests.time_bound import time_bound
 
 TEST_BOUND_S = 240.0
-"""The longest test takes under a minute on a busy machine."""
+"""The longest test takes under a minute on a busy machine; one that takes this long
+hangs."""
 
-_QUIET = [HealthCheck.too_slow, HealthCheck.data_too_large]
+_SUPPRESSED_CHECKS = [HealthCheck.too_slow, HealthCheck.data_too_large]
 
 settings.register_profile(
-    "ci", derandomize=True, deadline=None, database=None, suppress_health_check=_QUIET
+    "ci",
+    derandomize=True,
+    deadline=None,
+    database=None,
+    suppress_health_check=_SUPPRESSED_CHECKS,
 )
 settings.register_profile(
     "soak",
@@ -25,13 +31,13 @@
     deadline=None,
     max_examples=5_000,
     print_blob=True,
-    suppress_health_check=_QUIET,
+    suppress_health_check=_SUPPRESSED_CHECKS,
 )
 settings.load_profile(os.environ.get("HYPOTHESIS_PROFILE", "ci"))
 
 
 @pytest.fixture(autouse=True)
 def bounded(request: pytest.FixtureRequest) -> Iterator[None]:
-    """A test that hangs fails, with the stacks of all threads; the next one runs."""
+    """Fail a test that hangs, print the stacks of all threads, and run the next."""
     with time_bound(request.node.nodeid, TEST_BOUND_S):
         yield
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,8 +1,8 @@
-"""Builds fleets of separate processes for tests that need the real thing.
+"""Builds fleets of real processes for tests of the whole product.
 
-Each process gets an address of its own inside the loopback range, as instances
-have in production, so fixed ports never collide and a restarted process comes
-back under its address.  A fleet ends only processes that it started itself.
+Each process gets its own loopback address, as instances have their own addresses in
+production.  So fixed ports never collide, and a restarted process has the same address.
+A fleet stops only processes that it started itself.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 UPSTREAM_HTTP = 9000
 MAX_HOSTS = 40
 METRICS_HTTP = 9100
-DEAD_PORT = 1
+CLOSED_PORT = 1
 
 
 class Process:
-    """One operating-system process of a fleet."""
+    """An operating-system process of a fleet, with a log file for its output."""
 
     def __init__(self, name: str, argv: list[str], log: pathlib.Path) -> None:
         self.name = name
@@ -53,17 +53,17 @@
 
     @property
     def pid(self) -> int:
-        """Process id of the running process."""
+        """The process id."""
         assert self._popen is not None, f"{self.name} was never started"
         return self._popen.pid
 
     @property
     def running(self) -> bool:
-        """Whether the process is there, frozen or not."""
+        """Whether the process has not exited; a suspended one counts as running."""
         return self._popen is not None and self._popen.poll() is None
 
     def start(self) -> None:
-        """Start the process; its output is appended to its log."""
+        """Start the process; append its output to its log file."""
         env = {**os.environ, "PYTHONPATH": str(ROOT), "PYTHONUNBUFFERED": "1"}
         with open(self._log, "ab") as log:
             self._popen = subprocess.Popen(
@@ -71,44 +71,44 @@
             )
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to this process, not to its process group."""
         os.kill(self.pid, number)
 
     def kill(self) -> None:
-        """End the process at once, as a crash does."""
+        """Kill the process with SIGKILL, as a crash would, and wait for its exit."""
         if self.running:
             self.signal(signal.SIGKILL)
             self.wait()
 
     def freeze(self) -> None:
-        """Stop the process in its tracks."""
+        """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process with SIGCONT."""
         self.signal(signal.SIGCONT)
 
     def reload(self) -> None:
-        """Say that settings have changed."""
+        """Send SIGHUP, which makes the process reload its settings."""
         self.signal(signal.SIGHUP)
 
     def terminate(self) -> None:
-        """Ask for a graceful shutdown."""
+        """Send SIGTERM, which asks for a graceful shutdown."""
         self.signal(signal.SIGTERM)
 
     def wait(self, bound_s: float = STOP_BOUND_S) -> int:
-        """Return the exit code once the process has ended."""
+        """Wait until the process has exited and return its exit code."""
         assert self._popen is not None
         return self._popen.wait(bound_s)
 
     def output(self) -> str:
-        """All that the process has written."""
+        """Return everything that the process has written to its log file."""
         return self._log.read_text(errors="replace") if self._log.exists() else ""
 
 
 @dataclass
 class UpstreamSpec:
-    """One upstream to start with its sidecar."""
+    """Describes an upstream to start, and the settings of its sidecar."""
 
     name: str
     pool: str
@@ -123,7 +123,8 @@
 class Fleet:
     """Entries, control replicas, and upstreams with their sidecars.
 
-    Processes named in ``cut_off`` before they are added can't reach control.
+    Processes whose names are in ``cut_off`` when they are added can't reach control:
+    their settings name a port on which nothing listens.
     """
 
     def __init__(
@@ -147,7 +148,7 @@
 
     @property
     def verify(self) -> str | bool:
-        """What a client of this fleet trusts."""
+        """The ``verify`` argument of HTTP clients: the CA file if TLS is used."""
         return self.tls.get("ca_file", True)
 
     @property
@@ -157,27 +158,27 @@
     # Addresses.
 
     def host(self, name: str) -> str:
-        """The loopback address that belongs to ``name``."""
+        """Return the loopback address of ``name``; assign one at the first call."""
         if name not in self._hosts:
             self._hosts[name] = f"{self._net}.{len(self._hosts) + 1}"
         return self._hosts[name]
 
     def entry_url(self, name: str) -> str:
-        """Base address of an entry's HTTP interface."""
+        """Return the base URL of an entry's HTTP interface."""
         return f"{self._scheme}://{self.host(name)}:{ENTRY_HTTP}"
 
     def operator_url(self, name: str) -> str:
-        """Base address of a control replica's operator interface."""
+        """Return the base URL of a control replica's operator interface."""
         return f"{self._scheme}://{self.host(name)}:{CONTROL_HTTP}"
 
     def upstream_url(self, name: str) -> str:
-        """Base address of the upstream itself, past its sidecar."""
+        """Return the base URL of the upstream itself, without its sidecar."""
         return f"http://{self.host('upstream-' + name)}:{UPSTREAM_HTTP}"
 
     # Building.
 
     def add_controls(self, count: int, **settings: object) -> None:
-        """Declare ``count`` control replicas, spread over the zones."""
+        """Add ``count`` control replicas, spread over the zones."""
         self.controls = [f"control-{i + 1}" for i in range(count)]
         replicas = {n: f"{self.host(n)}:{CONTROL_RPC}" for n in self.controls}
         for i, name in enumerate(self.controls):
@@ -193,7 +194,7 @@
             self._add_role(name, "control")
 
     def add_entries(self, count: int, **settings: object) -> None:
-        """Declare ``count`` entries, spread over the zones."""
+        """Add ``count`` entries, spread over the zones."""
         self.entries = [f"entry-{i + 1}" for i in range(count)]
         for i, name in enumerate(self.entries):
             table = {
@@ -205,7 +206,7 @@
             self._add_role(name, "entry")
 
     def add_upstream(self, spec: UpstreamSpec) -> None:
-        """Declare an upstream and its sidecar."""
+        """Add an upstream and its sidecar."""
         self.upstreams[spec.name] = spec
         host = self.host("upstream-" + spec.name)
         app = "engine" if spec.kind == "completion" else "service"
@@ -233,23 +234,23 @@
         self._add_role(sidecar, "sidecar")
 
     def add_example(self, name: str, app: str, host: str, port: int) -> None:
-        """Declare one of the example apps as a process of its own."""
+        """Add one of the example apps as a separate process."""
         argv = [sys.executable, "-m", "gooseberrydale.example", app]
         self._add_process(name, [*argv, "--host", host, "--port", str(port)])
 
     def start(self) -> None:
-        """First start: initialise control, then start everything."""
+        """Initialise control, then start all processes."""
         self.init_control()
         for process in self.processes.values():
             process.start()
 
     def init_control(self) -> None:
-        """Run the explicit first start at one replica; the others join it."""
+        """Initialise the first control replica; the others join it when they start."""
         for name in self.controls[:1]:
             self.cli("control", "init", "--cfg", str(self.cfg_path(name)))
 
     def close(self) -> None:
-        """End every process that is still there."""
+        """Kill every process that is still running."""
         for process in self.processes.values():
             if process.running:
                 process.thaw()
@@ -258,14 +259,14 @@
     # Running commands.
 
     def cli(self, *args: str) -> str:
-        """Run the product's command and return what it prints; fail if it fails."""
+        """Run the product's command and return its output; raise if it fails."""
         done = self.try_cli(*args)
         if done.returncode != 0:
-            raise AssertionError(f"{args} ended with {done.returncode}: {done.stderr}")
+            raise AssertionError(f"{args} exited with {done.returncode}: {done.stderr}")
         return done.stdout
 
     def try_cli(self, *args: str) -> subprocess.CompletedProcess[str]:
-        """Run the product's command."""
+        """Run the product's command, which may fail."""
         return subprocess.run(
             [sys.executable, "-m", "gooseberrydale", *args],
             cwd=ROOT,
@@ -276,7 +277,7 @@
         )
 
     def operator_args(self) -> tuple[str, ...]:
-        """Flags that point an operators' command at this fleet."""
+        """Return the flags with which operators' commands reach this fleet."""
         urls = ",".join(self.operator_url(name) for name in self.controls)
         token_file = str(self.folder / "operator-token")
         return ("--control", urls, "--token-file", token_file)
@@ -284,7 +285,7 @@
     # Operating.
 
     def operate(self, method: str, path: str, body: Any = None) -> Any:
-        """Call the operators' interface at whichever replica takes it."""
+        """Call the operators' interface; try the replicas until one accepts."""
         end = time.monotonic() + START_BOUND_S
         answer: Any = None
         while time.monotonic() < end:
@@ -293,14 +294,16 @@
                 if answer is not None and answer.status_code < 400:
                     return answer.json()
                 if answer is not None and answer.status_code not in (421, 503):
-                    raise AssertionError(f"{path}: {answer.text}")
+                    raise AssertionError(f"{method} {path} failed: {answer.text}")
             time.sleep(POLL_S)
-        raise AssertionError(f"{path}: no replica took it: {answer and answer.text}")
+        raise AssertionError(
+            f"{path}: no replica accepted the call: {answer and answer.text}"
+        )
 
     def operate_at(
         self, name: str, method: str, path: str, body: Any = None
     ) -> httpx2.Response | None:
-        """Call the operators' interface of one replica; None if it can't be reached."""
+        """Call one replica's operators' interface; None if it can't be reached."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         url = self.operator_url(name) + path
         try:
@@ -317,11 +320,11 @@
             return None
 
     def revision(self) -> int:
-        """The revision in force, from the leader."""
+        """Return the revision in force, as the leader reports it."""
         return int(self.operate("GET", "/v1/config?from=leader")["revision"])
 
     def change(self, *edits: dict[str, Any]) -> int:
-        """Commit edits as one change; return the revision they made."""
+        """Commit edits as one change; return the new revision."""
         body = {"change_id": uuid.uuid4().hex, "base": self.revision(), "edits": edits}
         return int(self.operate("POST", "/v1/changes", body)["revision"])
 
@@ -337,47 +340,47 @@
         return self.change(*edits)
 
     def wait_ready(self, upstreams: int) -> None:
-        """Return once every entry is ready and all upstreams have announced."""
+        """Wait until entries are ready, upstreams announced, and control is healthy."""
         for name in self.entries:
             url = self.entry_url(name) + "/readyz"
             ready = functools.partial(_answers, url, self.verify)
             wait_until(ready, f"{name} is not ready")
-        wait_until(self.control_whole, "control replicas are missing")
+        wait_until(self.control_whole, "not every control replica is repaired")
         wait_until(
             lambda: len(self.operate("GET", "/v1/upstreams")["upstreams"]) >= upstreams,
-            "upstreams are missing",
+            f"fewer than {upstreams} upstreams have announced themselves",
         )
 
     def control_whole(self) -> bool:
-        """Whether the leader reports every replica as a member in good order."""
+        """Whether the leader reports the repair of every replica as done."""
         control = self.operate("GET", "/v1/status?from=leader")["control"]
         states = {repair["state"] for repair in control["repairs"]}
         return states == {"done"}
 
-    def sidecar_level(self, upstream: str, name: str) -> float:
-        """One level from the metrics of a sidecar that has a listener for them."""
+    def sidecar_gauge(self, upstream: str, name: str) -> float:
+        """Return the value of a gauge; the sidecar must have a metrics listener."""
         url = f"http://{self.host('sidecar-' + upstream)}:{METRICS_HTTP}/metrics"
         text = httpx2.get(url, timeout=10.0, trust_env=False).text
         lines = [line for line in text.splitlines() if line[:1] not in ("", "#")]
-        found = [line for line in lines if name in line.split("{")[0]]
-        assert found, f"{name} is not among {lines}"
-        return float(found[0].rpartition(" ")[2])
+        samples = [line for line in lines if name in line.split("{")[0]]
+        assert samples, f"{name} is not among the metrics {lines}"
+        return float(samples[0].rpartition(" ")[2])
 
     def entry_ready(self, name: str) -> bool:
-        """Whether an entry tells the balancer that it is ready."""
+        """Whether an entry's ``/readyz``, which load balancers call, reports ready."""
         return _answers(self.entry_url(name) + "/readyz")
 
     def answers_health(self, upstream: str) -> bool:
-        """Whether the upstream itself takes calls."""
+        """Whether the upstream's own ``/health`` answers."""
         return _answers(self.upstream_url(upstream) + "/health")
 
     def runs(self, upstream: str) -> list[dict[str, Any]]:
-        """The upstream's own record of what it ran."""
+        """Return the requests that the upstream has recorded as run."""
         url = self.upstream_url(upstream) + "/record"
         answer = httpx2.get(url, timeout=10.0, trust_env=False).json()
         return list(answer["runs"] if "runs" in answer else answer["requests"])
 
-    # Details.
+    # Settings and processes.
 
     def _write_secrets(self) -> None:
         self.folder.mkdir(parents=True, exist_ok=True)
@@ -397,7 +400,7 @@
         table: dict[str, object],
         node: str = "",
     ) -> None:
-        port = DEAD_PORT if name in self.cut_off else CONTROL_RPC
+        port = CLOSED_PORT if name in self.cut_off else CONTROL_RPC
         fleet: dict[str, object] = {
             "token_file": str(self.folder / "fleet-token"),
             "controls": [self._rpc(n, port) for n in self.controls],
@@ -424,7 +427,7 @@
 
 
 def wait_for_port(host: str, port: int, bound_s: float = START_BOUND_S) -> None:
-    """Return once something listens there."""
+    """Wait until the port accepts connections."""
     end = time.monotonic() + bound_s
     while True:
         try:
@@ -439,7 +442,7 @@
 def wait_until(
     condition: Callable[[], Any], fault: str, bound_s: float = START_BOUND_S
 ) -> None:
-    """Return once ``condition`` holds; fail with ``fault`` past the bound."""
+    """Wait until ``condition`` holds; raise with ``fault`` after ``bound_s``."""
     end = time.monotonic() + bound_s
     while not condition():
         if time.monotonic() > end:
@@ -448,7 +451,7 @@
 
 
 def key_digest(key: str) -> str:
-    """What a workspace's declaration holds of an API key."""
+    """Return the digest of an API key as a workspace declares it."""
     return hashlib.sha256(key.encode()).hexdigest()
 
 
@@ -461,7 +464,7 @@
 
 
 def _free_net() -> str:
-    """First three numbers of a loopback network that no other fleet uses."""
+    """Return the first three numbers of a loopback network that no fleet uses."""
     for attempt in range(250):
         net = f"127.{1 + os.getpid() % 250}.{(time.time_ns() // 1000 + attempt) % 250}"
         try:
@@ -470,7 +473,9 @@
             return net
         except OSError:
             continue
-    raise RuntimeError("no free loopback network; end stray test processes")
+    raise RuntimeError(
+        "no free loopback network; stop processes left over from earlier tests"
+    )
 
 
 def _toml(table: str, values: dict[str, object]) -> str:
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,9 +1,9 @@
-"""A TCP relay for tests that can fall silent without closing anything.
+"""A TCP relay that simulates network faults, such as silent connections.
 
-``forward`` passes bytes on; ``silent`` keeps every connection open and takes new
-ones, but passes nothing on (bytes sent meanwhile are held back in the buffers);
-``one_way`` does so for what the target sends alone; ``slow`` passes everything on late;
-``cut`` closes what is open and refuses new connections until another mode is set.
+Its modes: ``forward`` relays all bytes.  ``silent`` keeps connections open and accepts
+new ones, but relays nothing; bytes wait in the buffers until the mode changes.
+``one_way`` holds back only what the target sends.  ``slow`` delays all bytes.
+``cut`` closes all connections and refuses new ones until another mode is set.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 from typing import Any
 
 CHUNK_BYTES = 64 * 1024
-SLOW_S = 0.15
-"""Each piece waits so long on a slow way; far more than between regions."""
+SLOW_DELAY_S = 0.15
+"""Delay of each chunk in mode ``slow``; far more than the delay between regions."""
 
 
 class RelayMode(StrEnum):
-    """What the relay does with connections and bytes."""
+    """What the relay does with connections and bytes; see the module."""
 
     FORWARD = "forward"
     SILENT = "silent"
@@ -30,7 +30,7 @@
 class Relay:
     """Listens on a loopback port and relays to ``target_port`` of ``target_host``.
 
-    ``silence_open()`` silences only the connections open now, while new ones work.
+    ``silence_open()`` silences only the open connections; new ones are forwarded.
     """
 
     def __init__(self, target_port: int, target_host: str = "127.0.0.1") -> None:
@@ -44,16 +44,16 @@
 
     @property
     def address(self) -> str:
-        """Where clients connect."""
+        """The address that clients connect to."""
         return f"127.0.0.1:{self.port}"
 
     @property
     def open_count(self) -> int:
-        """Connections open now."""
+        """The number of open connections."""
         return len(self._links)
 
     async def start(self) -> None:
-        """Listen; the port is kept over ``cut`` and back."""
+        """Listen; after ``cut``, on the same port as before."""
         self._server = await asyncio.start_server(
             self._accept, "127.0.0.1", self.port, limit=CHUNK_BYTES
         )
@@ -70,7 +70,7 @@
             await asyncio.sleep(0)
 
     async def set_mode(self, mode: RelayMode) -> None:
-        """Change what happens to open connections and to new ones."""
+        """Set the mode of open connections and of new ones."""
         self._mode = mode
         if mode is RelayMode.CUT:
             await self.close()
@@ -81,7 +81,7 @@
             link.set_mode(mode)
 
     def silence_open(self) -> None:
-        """Silence the connections that are open now; new ones are forwarded."""
+        """Silence the open connections, but forward new ones."""
         for link in self._links:
             link.set_mode(RelayMode.SILENT)
 
@@ -98,7 +98,7 @@
 
 
 class _Link:
-    """One relayed connection: two sockets, and a gate for each direction."""
+    """A relayed connection: a pair of sockets and, per direction, an event to pause."""
 
     def __init__(
         self,
@@ -106,30 +106,35 @@
         writer: asyncio.StreamWriter,
         mode: RelayMode,
     ) -> None:
-        self._near = (reader, writer)
-        self._out, self._back = asyncio.Event(), asyncio.Event()
+        self._client = (reader, writer)
+        self._to_target_open, self._to_client_open = asyncio.Event(), asyncio.Event()
         self._closed = asyncio.Event()
         self._delay_s = 0.0
         self.set_mode(mode)
 
     def set_mode(self, mode: RelayMode) -> None:
-        self._delay_s = SLOW_S if mode is RelayMode.SLOW else 0.0
-        _set(self._out, mode is not RelayMode.SILENT)
-        _set(self._back, mode not in (RelayMode.SILENT, RelayMode.ONE_WAY))
+        self._delay_s = SLOW_DELAY_S if mode is RelayMode.SLOW else 0.0
+        _set_open(self._to_target_open, mode is not RelayMode.SILENT)
+        _set_open(
+            self._to_client_open, mode not in (RelayMode.SILENT, RelayMode.ONE_WAY)
+        )
 
     def close(self) -> None:
         self._closed.set()
 
     async def run(self, target_host: str, target_port: int) -> None:
-        """Relay until either side closes while bytes flow, or ``close``."""
+        """Relay until either side closes or ``close`` is called.
+
+        While a direction is paused, its sender's close goes unnoticed.
+        """
         tasks: list[asyncio.Task[Any]] = [asyncio.create_task(self._closed.wait())]
-        writers = [self._near[1]]
+        writers = [self._client[1]]
         try:
-            far = await asyncio.open_connection(target_host, target_port)
-            writers.append(far[1])
-            out = self._pump(self._near[0], far[1], self._out)
-            back = self._pump(far[0], self._near[1], self._back)
-            tasks += [asyncio.create_task(out), asyncio.create_task(back)]
+            target = await asyncio.open_connection(target_host, target_port)
+            writers.append(target[1])
+            to_target = self._pump(self._client[0], target[1], self._to_target_open)
+            to_client = self._pump(target[0], self._client[1], self._to_client_open)
+            tasks += [asyncio.create_task(to_target), asyncio.create_task(to_client)]
             await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
         except OSError:
             pass
@@ -157,7 +162,7 @@
             await writer.drain()
 
 
-def _set(gate: asyncio.Event, is_open: bool) -> None:
+def _set_open(gate: asyncio.Event, is_open: bool) -> None:
     if is_open:
         gate.set()
     else:
--- a/tests/test_time_bound.py
+++ b/tests/test_time_bound.py
@@ -1,4 +1,4 @@
-"""A test that hangs ends, and the run goes on."""
+"""A test that hangs fails at its time limit, so that the run can continue."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
     ],
     ids=["thread", "event loop"],
 )
-def test_a_hang_ends_at_the_bound(hang, capfd):
+def test_a_hang_ends_at_the_time_limit(hang, capfd):
     with pytest.raises(HungError, match="a name has not ended"):
         with time_bound("a name", 0.1):
             hang()
     assert "test_time_bound.py" in capfd.readouterr().err
 
 
-def test_what_ends_in_time_is_left_alone():
+def test_no_alarm_is_raised_after_the_block_ended_in_time():
     with time_bound("a name", 0.05):
         pass
     threading.Event().wait(0.1)
