--- a/features/at_most_once.feature
+++ b/features/at_most_once.feature
@@ -1,6 +1,6 @@
 Feature: Work that may not be repeated runs at most once
   Whatever fails while a bid runs, the records of the services hold it at most once,
-  and its caller gets the whole answer or is told what is known of the outcome.
+  and its caller gets the whole answer or an error that says whether it may have run.
 
   Scenario Outline: A <role> is killed in the middle of bids without a key
     Given a fleet of 3 control replicas, 2 entries and 2 services that take 1 s
@@ -22,7 +22,7 @@
     The record of a killed service is lost with it, so it is read right before the kill.
     Given a fleet of 3 control replicas, 2 entries and 2 services that take 1 s
     And 16 bids without a key are under way, one each 0.04 s
-    When the record of service-1 is kept and its process is killed after 0.5 s
+    When the record of service-1 is saved and its process is killed after 0.5 s
     And upstream-service-1 is started again after 1 s
     And all requests have ended
     Then no bid ran twice
--- a/features/cache_events.feature
+++ b/features/cache_events.feature
@@ -6,10 +6,10 @@
     Given a fleet of 3 control replicas, 2 entries and 3 engines whose cache events are unreliable
     And 40 requests are under way, one each 0.05 s
     When all requests have ended
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And no answer claims more cached tokens than the engine's record
 
-  Scenario: An engine comes back empty under its address
+  Scenario: An engine restarts empty at its old address
     Given a fleet of 3 control replicas, 2 entries and 3 engines whose cache events are unreliable
     And 24 requests are under way, one each 0.05 s
     When all requests have ended
@@ -19,6 +19,6 @@
     And engine-1 answers again
     Then the sidecar of engine-1 soon counts nothing as cached
     When 24 requests are sent, one each 0.05 s
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And engine-1 ran some of them, the first of them with nothing cached
     And no answer claims more cached tokens than the engine's record
--- a/features/durable_state.feature
+++ b/features/durable_state.feature
@@ -25,11 +25,11 @@
     And its repair is reported done
     Then every acknowledged change is in the configuration of all replicas
 
-  Scenario: A leader frozen for long comes back and reverts nothing
+  Scenario: A leader resumed after a long freeze reverts nothing
     Given a fleet of 3 control replicas, 2 entries and 1 engines
     When the leader is frozen
     And 20 changes were made
-    And the frozen leader thaws and is sent a change for the revision it knows
+    And the frozen leader thaws and is sent a change for its own revision
     Then that change was refused and changed nothing
     And every acknowledged change is in the configuration of all replicas
     And the revision never fell at any entry
--- a/features/examples.feature
+++ b/features/examples.feature
@@ -5,7 +5,7 @@
     Given the deployment <deployment> was started from its settings
     And its declarations were applied by an operator and are in force everywhere
     When the workspace <workspace> asks profile <completion> 6 times and <service> once
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And <upstreams> upstreams have announced themselves
 
     Examples:
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -9,7 +9,7 @@
     And all requests have ended
     Then engine-1 had started work before, and none later than 4 s after the change
     And the other engines started work later than 4 s after the change
-    And every request brought its whole answer
+    And every request got its complete answer
 
   Scenario: An upstream is marked as leaving while its queue is long
     Given a fleet of 3 control replicas and 2 entries before 3 engines that run 1 request at once
@@ -17,7 +17,7 @@
     When engine-1 is marked as leaving after 3.8 s
     And all requests have ended
     Then engine-1 had started work before, and none later than 4 s after the change
-    And every request brought its whole answer
+    And every request got its complete answer
 
   Scenario: Control is lost right after the change, and one entry alone has received it
     Neither the other entry nor any sidecar can reach control at any time.
@@ -28,4 +28,4 @@
     And all requests have ended
     Then engine-1 had started work before, and none later than 4 s after the change
     And the other engines started work later than 4 s after the change
-    And every request brought its whole answer
+    And every request got its complete answer
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -8,7 +8,7 @@
     When every upstream is ordered to load weights "2"
     Then all orders are done and at no time more than 2 were issued
     And all requests have ended
-    And every request brought its whole answer
+    And every request got its complete answer
     And every upstream runs weights "2" and has taken numbers that only rise
 
     Examples:
--- a/features/process_failures.feature
+++ b/features/process_failures.feature
@@ -1,5 +1,5 @@
 Feature: Processes fail while requests run
-  Whatever process ends, freezes or comes back empty, each request ends exactly once,
+  Whatever process ends, freezes or restarts empty, each request ends exactly once,
   with its whole right answer or with a typed error, and "not run" is never said of a
   request that an upstream ran.
 
@@ -9,9 +9,9 @@
     When <process> is killed after 1 s
     And <process> is started again after 1 s
     And all requests have ended
-    Then every request ended once, with its whole answer or a typed error
+    Then every request ended once, with its complete answer or a typed error
     And no request that was said not to have run is in an upstream's record
-    And at most <lost> requests ended without their whole answer
+    And at most <lost> requests ended without their complete answer
 
     Examples: one process of each role
       | role     | process           | lost |
@@ -26,9 +26,9 @@
     When <process> is frozen after 0.5 s
     And <process> thaws after 8 s
     And all requests have ended
-    Then every request ended once, with its whole answer or a typed error
+    Then every request ended once, with its complete answer or a typed error
     And no request that was said not to have run is in an upstream's record
-    And at most <lost> requests ended without their whole answer
+    And at most <lost> requests ended without their complete answer
 
     Examples: one process of each role
       | role     | process           | lost |
@@ -43,7 +43,7 @@
     When <process> is asked to shut down after 1 s
     And <process> has ended by itself
     And all requests have ended
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And the engines ran each request once
 
     Examples: one process of each role
@@ -57,7 +57,7 @@
     When control-1 is killed after 0 s
     And all entries are killed and started again
     And a request is sent as soon as an entry listens
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And the answer began within 5 s of the first listening entry
 
   Scenario: All entries are killed and started again at once under load
@@ -66,6 +66,6 @@
     When the load has run for 1 s
     And all entries are killed and started again
     And all requests have ended
-    Then every request ended once, with its whole answer or a typed error
+    Then every request ended once, with its complete answer or a typed error
     And no request that was said not to have run is in an upstream's record
-    And at most 0 requests ended without their whole answer
+    And at most 0 requests ended without their complete answer
--- a/features/rolling_restart.feature
+++ b/features/rolling_restart.feature
@@ -7,6 +7,6 @@
     And 240 requests are under way, one each 0.15 s
     When all entries and sidecars are restarted gracefully, one after the other
     And all requests have ended
-    Then every request brought its whole answer
-    And each request ran once, or went on where its last run ended
+    Then every request got its complete answer
+    And each request ran once, or continued where its last run ended
     And requests were still sent when the last process was back
--- a/features/security.feature
+++ b/features/security.feature
@@ -5,7 +5,7 @@
   Scenario: The whole path works over TLS on every listener
     Given a fleet over TLS of 3 control replicas, 2 entries and 2 engines
     When 12 requests are sent, one each 0.05 s
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And no listener of the system answers without TLS
     And the operators' command works with the authority's certificate alone
 
@@ -13,4 +13,4 @@
     Given a fleet of 3 control replicas, 1 entries and 1 engines
     When a sidecar with another fleet token is started
     Then its upstream is not announced, and a call with that token is refused
-    And every line of the logs is JSON, and no token or key stands in any
+    And every line of the logs is JSON, and no token or key appears in any
--- a/features/silent_connections.feature
+++ b/features/silent_connections.feature
@@ -7,7 +7,7 @@
     And 40 <form> are under way, one each 0.05 s
     When all connections open at the relays go silent after 1.5 s
     And all requests have ended
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And every request ended within 30 s of its start
     And each relay forwards new connections
 
@@ -21,7 +21,7 @@
     And 12 answers in one piece are asked for, one each 0.05 s
     When all connections open at the relays go silent after 1 s
     And all requests have ended
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And every request ended within 30 s of its start
 
   Scenario: A caller whose connection goes silent gets the rest on a new one
@@ -29,6 +29,6 @@
     And 12 slow streams are under way, whose callers give a silent connection up after 3 s
     When all connections open at the relays go silent after 3 s
     And all requests have ended
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And at least 4 of them were attached to again by the last event's id
     And the engines ran each request once
--- a/features/steps/bid_steps.py
+++ b/features/steps/bid_steps.py
@@ -102,7 +102,7 @@
     context.bids = count
 
 
-@when("the record of {name} is kept and its process is killed after {wait_s:g} s")
+@when("the record of {name} is saved and its process is killed after {wait_s:g} s")
 def step_keep_and_kill(context: Any, name: str, wait_s: float) -> None:
     """Read the record and crash the service right after."""
     time.sleep(wait_s)
@@ -198,7 +198,7 @@
 
 
 @then("at least {least:d} bid was in the middle of its run at the kill")
-def step_was_hit(context: Any, least: int) -> None:
+def step_interrupted(context: Any, least: int) -> None:
     """Check that the kill interrupted running bids, which the scenario depends on."""
     interrupted = [
         number
--- a/features/steps/durable_steps.py
+++ b/features/steps/durable_steps.py
@@ -278,7 +278,7 @@
     context.fleet.processes[context.frozen].freeze()
 
 
-@when("the frozen leader thaws and is sent a change for the revision it knows")
+@when("the frozen leader thaws and is sent a change for its own revision")
 def step_thaw_leader(context: Any) -> None:
     """Resume the old leader and at once send it a change based on its revision."""
     context.fleet.processes[context.frozen].thaw()
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -66,7 +66,7 @@
 
 
 @when("all entries are killed and started again")
-def step_herd(context: Any) -> None:
+def step_restart_all_entries(context: Any) -> None:
     """Kill and restart all entries at the same time, as after a power failure."""
     fleet = context.fleet
     for name in fleet.entries:
@@ -93,7 +93,7 @@
     context.endings = context.running.result(LOAD_BOUND_S)
 
 
-@then("every request ended once, with its whole answer or a typed error")
+@then("every request ended once, with its complete answer or a typed error")
 def step_ended_once(context: Any) -> None:
     """Check that no request was lost or got a wrong answer."""
     kinds = collections.Counter(ending.kind for ending in context.endings)
@@ -114,7 +114,7 @@
     assert not wrong, show(wrong)
 
 
-@then("at most {bound:d} requests ended without their whole answer")
+@then("at most {bound:d} requests ended without their complete answer")
 def step_bound_lost(context: Any, bound: int) -> None:
     """Check how many repeatable requests the failure of a process cost."""
     incomplete = [ending for ending in context.endings if ending.kind != "whole"]
--- a/features/steps/first_run_steps.py
+++ b/features/steps/first_run_steps.py
@@ -84,7 +84,7 @@
     context.answers = [_ask_streamed(context, 1, stop_midway=True)]
 
 
-@then("each answer is whole")
+@then("each answer is complete")
 def step_whole(context: Any) -> None:
     """Compare each answer with the example engine's answer to the same prompt."""
     assert context.answers
--- a/features/steps/fleet_steps.py
+++ b/features/steps/fleet_steps.py
@@ -174,7 +174,7 @@
     ]
 
 
-@then("every request brought its whole answer")
+@then("every request got its complete answer")
 def step_all_whole(context: Any) -> None:
     """Check that no request was refused, lost or answered wrongly."""
     kinds = collections.Counter(ending.kind for ending in context.endings)
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -49,7 +49,7 @@
     caller(context).use_entries([context.fleet.entry_url(name) for name in names])
 
 
-@then("each request ran once, or went on where its last run ended")
+@then("each request ran once, or continued where its last run ended")
 def step_once_or_resumed(context: Any) -> None:
     """Check that no request was computed from its start more than once."""
     full_runs = collections.Counter(
--- a/features/steps/security_steps.py
+++ b/features/steps/security_steps.py
@@ -97,7 +97,7 @@
     assert call_code(address, FLEET_TOKEN) is None
 
 
-@then("every line of the logs is JSON, and no token or key stands in any")
+@then("every line of the logs is JSON, and no token or key appears in any")
 def step_no_secrets(context: Any) -> None:
     """Check the logs of all processes; upstreams may log in any format."""
     for name, process in context.fleet.processes.items():
--- a/features/whole_path.feature
+++ b/features/whole_path.feature
@@ -5,7 +5,7 @@
   Scenario: Requests are served end to end
     Given a fleet of 3 control replicas, 2 entries and 3 engines
     When 12 requests are sent, one each 0.05 s
-    Then every request brought its whole answer
+    Then every request got its complete answer
     And the engines ran each request once
 
   Scenario: A bid runs once and its resend gets the recorded answer
