--- a/scripts/routing_model.py
+++ b/scripts/routing_model.py
@@ -3,8 +3,9 @@
 The simulation computes on simulated time, without processes or messages.  An upstream
 computes one prompt after the other and caches prefixes, of which it evicts the least
 recently used.  A reply reaches its entry with the first token; heartbeats report the
-load until then.  Requests of a workspace share its guide, and some of them a lot after
-it; few workspaces get most of the requests.  The same seed gives the same result.
+load until then.  A prompt begins with its workspace's guide, a long text, and a "lot",
+one of several shorter texts; only the question after them is new.  Few workspaces get
+most of the requests.  The same seed gives the same result.
 """
 
 from __future__ import annotations
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -40,7 +40,7 @@
 
 
 def nested_prompt(guide: int, lot: int, question: int, pieces: int = 2) -> Messages:
-    """Return a prompt of a guide, a lot and a question.
+    """Return a prompt of a long guide, a shorter text ("lot") and a question.
 
     Prompts with equal numbers share these texts, and thus the cached prefix.
     """
