--- a/scripts/bench_routing.py
+++ b/scripts/bench_routing.py
@@ -1,8 +1,9 @@
 """Print the processor time of one routing decision, by number of upstreams.
 
 The prompts consist of two texts that requests share, a long guide and a shorter "lot",
-and a new question.  The policy receives feedback as replies would carry it.  "kept" passes the same records to each decision,
-"renewed" a new tuple in which one record was renewed.
+and a new question.  The policy receives feedback as replies would carry it.
+"kept" passes the same records to each decision, "renewed" a new tuple in which one
+record was renewed.
 """
 
 from __future__ import annotations
--- a/tests/builders_fleet.py
+++ b/tests/builders_fleet.py
@@ -139,7 +139,7 @@
 
 
 async def work_for(nodes: list[Node], seconds: float, *, per_s: float) -> None:
-    """Change each gateway's work ``per_s`` times a second; end with one request."""
+    """Change each gateway's work ``per_s`` times a second; end with 1 request."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     for number in itertools.count():
