--- a/scripts/measure_changes.py
+++ b/scripts/measure_changes.py
@@ -15,7 +15,7 @@
 import psutil
 
 from gooseberrydale.connection.mesh import ENTRY_ROLE
-from measure.stand_ins import Peers, config
+from measure.fake_peers import Peers, make_config
 from measure.subject import MB, Subject
 
 WORKSPACES = 1_800
@@ -27,7 +27,7 @@
     """Offer ``rate`` revisions a second and print the memory every ``SAMPLE_S``."""
     process = psutil.Process(subject.fleet.processes[subject.name].pid)
     loop = asyncio.get_running_loop()
-    base = config(1, WORKSPACES, PROFILES)
+    base = make_config(1, WORKSPACES, PROFILES)
     async with Peers(1, ENTRY_ROLE, subject.address) as peers:
         ends_at = loop.time() + seconds
         sample_at = loop.time()
--- a/scripts/slope_streams.py
+++ b/scripts/slope_streams.py
@@ -22,7 +22,7 @@
 
 from gooseberrydale.version.declarations import Profile, ProfileKind, Workspace
 from measure.fit import fit
-from measure.subject import Usage, watch
+from measure.subject import Usage, measure_usage
 from measure.workload import text
 from tests.fleet import Fleet, UpstreamSpec, key_digest
 
@@ -117,7 +117,7 @@
     await asyncio.sleep(WARM_UP_S)
     count.events = count.answers = 0
     pids = [fleet.processes[name].pid for name in ROLES.values()]
-    usages = await asyncio.gather(*(watch(pid, WINDOW_S) for pid in pids))
+    usages = await asyncio.gather(*(measure_usage(pid, WINDOW_S) for pid in pids))
     counted = CallerCounts(count.events, count.answers, count.refused)
     for task in tasks:
         task.cancel()
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from gooseberrydale.example.answers import answer_length, answer_text, prompt_digest
-from gooseberrydale.example.prompts import LONGEST_ANSWER, SHORTEST_ANSWER
+from gooseberrydale.example.prompts import MAX_ANSWER_TOKENS, MIN_ANSWER_TOKENS
 
 REQUEST_BOUND_S = 60.0
 RECONNECT_S = 0.05
@@ -35,7 +35,7 @@
     """Return the whole answer that the example engine gives to ``messages``."""
     pairs = [(message["role"], message["content"]) for message in messages]
     digest = prompt_digest(msgspec.json.encode(pairs))
-    length = answer_length(digest, SHORTEST_ANSWER, LONGEST_ANSWER)
+    length = answer_length(digest, MIN_ANSWER_TOKENS, MAX_ANSWER_TOKENS)
     return answer_text(digest, length)
 
 
