--- a/gooseberrydale/process/cli.py
+++ b/gooseberrydale/process/cli.py
@@ -102,12 +102,12 @@
 def _run_with_operator_commands() -> None:
     # Imported here, so that a process that runs a role does not load this code.
     from gooseberrydale.process.operator_cli import OperatorCommands
-    from gooseberrydale.process.operator_session import finish
+    from gooseberrydale.process.operator_session import run_command
 
     class AllCommands(Commands, OperatorCommands):
         __doc__ = Commands.__doc__
 
-    fire.Fire(AllCommands(), name="gooseberrydale", serialize=finish)
+    fire.Fire(AllCommands(), name="gooseberrydale", serialize=run_command)
 
 
 def _run(role: str, cfg: str, ready_file: str) -> None:
--- a/gooseberrydale/process/entry/entry.py
+++ b/gooseberrydale/process/entry/entry.py
@@ -91,7 +91,7 @@
             lambda: fleet,
             self._declared_quotas,
             self._rng,
-            is_listed=True,
+            has_static_fleet=True,
         )
         self._housekeeping: asyncio.Task[None] | None = None
         self._has_metrics_listener = bool(cfg.metrics.http)
--- a/gooseberrydale/process/gateway/app.py
+++ b/gooseberrydale/process/gateway/app.py
@@ -32,7 +32,7 @@
 from gooseberrydale.process.gateway.routed_request import RoutedRequest, want_of
 from gooseberrydale.process.gateway.send import SendDeps
 from gooseberrydale.process.gateway.terms import TermsMaker
-from gooseberrydale.process.quota_charge import QuotaCharge, refusal_of
+from gooseberrydale.process.quota_charge import QuotaCharge, refuse_over_quota
 from gooseberrydale.process.quota_client import OverQuota, QuotaClient
 from gooseberrydale.request.draining import Drain, retry_after_drain_s
 from gooseberrydale.request.fingerprint import fingerprint, fingerprint_text
@@ -194,7 +194,7 @@
         answer: CallerAnswer,
     ) -> None:
         """Refuse a request over its workspace's quota; no upstream has received it."""
-        why = refusal_of(job.call.request_id, charge, over)
+        why = refuse_over_quota(job.call.request_id, charge, over)
         self._deps.metrics.over_quota(charge.workspace, charge.cost)
         await answer.refuse(why)
 
--- a/gooseberrydale/process/gateway/routed_request.py
+++ b/gooseberrydale/process/gateway/routed_request.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from gooseberrydale.process.quota_client import Want
+from gooseberrydale.process.quota_client import QuotaDemand
 from gooseberrydale.request.gateway_call import CallerRequest
 from gooseberrydale.request.retry_after import REMAINING_TIME_FRACTION
 from gooseberrydale.version.declared import KeyHolder, Pool, Route
@@ -53,16 +53,16 @@
         return self.deadline_at - asyncio.get_running_loop().time()
 
 
-def want_of(job: RoutedRequest) -> Want | None:
+def want_of(job: RoutedRequest) -> QuotaDemand | None:
     """Return what a request takes of its workspace's quota; None if it has none."""
     holder, prompt = job.workspace, job.call.prompt
     if holder is None or holder.quota is None:
         return None
-    return Want(
+    return QuotaDemand(
         workspace=holder.name,
         quota=holder.quota,
         cost=holder.quota.cost(None if prompt is None else prompt.usage),
         rank=job.rank,
         request=job.fingerprint,
-        patience_s=max(0.0, job.left_s()) * REMAINING_TIME_FRACTION,
+        wait_limit_s=max(0.0, job.left_s()) * REMAINING_TIME_FRACTION,
     )
--- a/gooseberrydale/process/gateway/send.py
+++ b/gooseberrydale/process/gateway/send.py
@@ -199,7 +199,7 @@
         headers = wire.request_headers(job.call, terms)
         conn.send(_request_head(job.call, headers, len(job.body)), job.body)
         self.runs += 1
-        self._charge.sent()
+        self._charge.record_sent()
         self._run = load.runs.began(job.fingerprint)
         raw = await conn.head(self._is_own_answer)
         load.silence.note_received(_now())
@@ -245,7 +245,7 @@
         self, conn: HttpConn, head: AnswerHead, record: UpstreamRecord
     ) -> End:
         self.runs -= 1
-        self._charge.not_run()
+        self._charge.record_not_run()
         await _read_whole(conn)
         replaced = head.instance not in (None, record.name)
         self._deps.upstreams.refused(record.name, _now(), replaced=replaced)
--- a/gooseberrydale/process/operator_session.py
+++ b/gooseberrydale/process/operator_session.py
@@ -187,7 +187,7 @@
     act: Callable[[Session], Awaitable[None]]
 
 
-def finish(result: Any) -> Any:
+def run_command(result: Any) -> Any:
     """Carry out the command that a fire component returned.
 
     Pass this to fire as ``serialize``, which is called after all arguments have been
--- a/gooseberrydale/process/quota_charge.py
+++ b/gooseberrydale/process/quota_charge.py
@@ -9,7 +9,7 @@
 
 from gooseberrydale.errors import OVER_QUOTA, Problem, problem
 from gooseberrydale.log_events import QuotaRefused, emit
-from gooseberrydale.process.quota_client import OverQuota, QuotaClient, Want
+from gooseberrydale.process.quota_client import OverQuota, QuotaClient, QuotaDemand
 
 MS_PER_S = 1_000.0
 
@@ -20,7 +20,7 @@
     ``_is_prepaid`` is set while one send is paid for that has not been made.
     """
 
-    def __init__(self, client: QuotaClient, demand: Want | None) -> None:
+    def __init__(self, client: QuotaClient, demand: QuotaDemand | None) -> None:
         self._client = client
         self._demand = demand
         self._is_prepaid = False
@@ -43,14 +43,14 @@
         self._is_prepaid = refusal is None
         return refusal
 
-    def sent(self) -> None:
+    def record_sent(self) -> None:
         """Charge a send to an upstream that may run the request."""
         if self._is_prepaid:
             self._is_prepaid = False
         elif self._demand is not None:
             self._client.spend(self._demand.workspace, self._demand.cost)
 
-    def not_run(self) -> None:
+    def record_not_run(self) -> None:
         """Keep the payment for the next send, as the upstream did not run this one."""
         if self._demand is None:
             return
@@ -64,11 +64,11 @@
             self._refund(self._demand)
         self._is_prepaid = False
 
-    def _refund(self, demand: Want) -> None:
+    def _refund(self, demand: QuotaDemand) -> None:
         self._client.spend(demand.workspace, -demand.cost)
 
 
-def refusal_of(request_id: str, charge: QuotaCharge, over: OverQuota) -> Problem:
+def refuse_over_quota(request_id: str, charge: QuotaCharge, over: OverQuota) -> Problem:
     """Log that a request is over its quota, and return the error for its caller."""
     emit(
         QuotaRefused(
@@ -78,12 +78,12 @@
             left=round(over.left),
             age_ms=round(over.age_s * MS_PER_S, 1),
             owner=over.owner,
-            after_ms=round(over.after_s * MS_PER_S),
+            after_ms=round(over.retry_after_s * MS_PER_S),
         )
     )
     return problem(
         OVER_QUOTA,
         workspace=charge.workspace,
         cost=charge.cost,
-        retry_after_s=over.after_s,
+        retry_after_s=over.retry_after_s,
     )
--- a/gooseberrydale/process/quota_client.py
+++ b/gooseberrydale/process/quota_client.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class QuotaDemand:
     """A request's demand on the quota of its workspace.
 
     ``cost`` is in the unit of the quota.  ``rank`` is the request's priority, 0 the
@@ -96,7 +96,7 @@
     cost: int
     rank: int = 0
     request: bytes = b""
-    patience_s: float = 0.0
+    wait_limit_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,7 +108,7 @@
     gateway that decided: this one if no owner answered.
     """
 
-    after_s: float
+    retry_after_s: float
     left: float
     age_s: float
     owner: str
@@ -131,7 +131,7 @@
         quotas: Callable[[], Mapping[str, Quota]],
         rng: random.Random,
         *,
-        is_listed: bool = False,
+        has_static_fleet: bool = False,
     ) -> None:
         self._name = name
         self._incarnation = incarnation
@@ -139,7 +139,7 @@
         self._fleet = fleet
         self._quotas = quotas
         self._rng = rng
-        self._has_static_fleet = is_listed
+        self._has_static_fleet = has_static_fleet
         self._accounts: dict[str, Account] = {}
         self._owners = Owners()
         self._last_fleet: Fleet | None = None
@@ -178,7 +178,7 @@
             self._repeat_task.cancel()
             await asyncio.gather(self._repeat_task, return_exceptions=True)
 
-    async def admit(self, demand: Want) -> OverQuota | None:
+    async def admit(self, demand: QuotaDemand) -> OverQuota | None:
         """Spend the cost of a request, or return a refusal that says when to retry."""
         if not demand.cost:
             return None
@@ -234,7 +234,9 @@
             account = self._accounts[workspace] = Account(workspace)
         return account
 
-    def _spend_own_share(self, account: Account, demand: Want) -> OverQuota | None:
+    def _spend_own_share(
+        self, account: Account, demand: QuotaDemand
+    ) -> OverQuota | None:
         """Spend from this gateway's own share of the rate, as no owner answers."""
         min_share = 1.0 / max(1, len(self._owners))
         if not self._is_fleet_known():
@@ -247,18 +249,18 @@
         return None
 
     def _refuse(
-        self, slot_s: float, account: Account, demand: Want, owner: str
+        self, slot_s: float, account: Account, demand: QuotaDemand, owner: str
     ) -> OverQuota:
         """Return a refusal until the caller's retry slot in ``slot_s``, plus jitter.
 
         Jitter is cut off at the caller's wait limit.
         """
         jitter_s = self._rng.uniform(0.0, min(MAX_JITTER_S, JITTER_FRACTION * slot_s))
-        max_after_s = max(slot_s, demand.patience_s, MIN_RETRY_AFTER_S)
+        max_after_s = max(slot_s, demand.wait_limit_s, MIN_RETRY_AFTER_S)
         after_s = min(max(MIN_RETRY_AFTER_S, slot_s + jitter_s), max_after_s)
         return OverQuota(after_s, account.left, account.age_s(_now()), owner)
 
-    async def _ask(self, account: Account, demand: Want) -> QuotaVerdict | None:
+    async def _ask(self, account: Account, demand: QuotaDemand) -> QuotaVerdict | None:
         """Ask the owners in order and return the verdict, or None if none answers.
 
         A recently started owner may count less of the quota as left than the other
@@ -280,7 +282,7 @@
             account.note_received(refused.level, _now())
         return refused
 
-    def _make_ask(self, account: Account, demand: Want) -> QuotaAsk:
+    def _make_ask(self, account: Account, demand: QuotaDemand) -> QuotaAsk:
         return QuotaAsk(
             gateway=self._name,
             incarnation=self._incarnation,
@@ -289,7 +291,7 @@
             cost=demand.cost,
             rank=demand.rank,
             request=demand.request,
-            patience_s=demand.patience_s,
+            patience_s=demand.wait_limit_s,
         )
 
     async def _ask_owner(
--- a/gooseberrydale/request/runner.py
+++ b/gooseberrydale/request/runner.py
@@ -32,8 +32,8 @@
     problem,
 )
 from gooseberrydale.log_events import RequestQuarantined, emit
-from gooseberrydale.process.quota_charge import QuotaCharge, refusal_of
-from gooseberrydale.process.quota_client import Want
+from gooseberrydale.process.quota_charge import QuotaCharge, refuse_over_quota
+from gooseberrydale.process.quota_client import QuotaDemand
 from gooseberrydale.request.cancel import cancel, confirm_not_run
 from gooseberrydale.request.chooser import CONNECTION_CAUSES, Chooser
 from gooseberrydale.request.claim_gate import AttemptGate
@@ -122,9 +122,11 @@
         """Raise :class:`ProblemError` if the workspace is over its quota."""
         refusal = await self._charge.admit()
         if refusal is not None:
-            raise ProblemError(refusal_of(self._job.request_id, self._charge, refusal))
+            raise ProblemError(
+                refuse_over_quota(self._job.request_id, self._charge, refusal)
+            )
 
-    def _want(self) -> Want | None:
+    def _want(self) -> QuotaDemand | None:
         """Return what the request takes from its workspace's quota, if it has one."""
         job = self._job
         workspace = self._deps.store.config.workspaces.get(job.workspace)
@@ -134,12 +136,12 @@
         tokens = None
         if job.is_completion:
             tokens = sum(piece.tokens for piece in job.pieces) + job.max_new_tokens
-        return Want(
+        return QuotaDemand(
             workspace=job.workspace,
             quota=quota,
             cost=quota.cost(tokens),
             request=job.fingerprint,
-            patience_s=max(0.0, self._left_s()) * REMAINING_TIME_FRACTION,
+            wait_limit_s=max(0.0, self._left_s()) * REMAINING_TIME_FRACTION,
         )
 
     async def _step(self) -> list[Part]:
@@ -295,7 +297,7 @@
             record_seq=self._record_seq,
         )
         await exchange.dispatch(req, self._frame_deadline())
-        self._charge.sent()
+        self._charge.record_sent()
         self._deps.policy.dispatched(self._choice, self._now())
 
     def _outcome(self, cause: Cause, why: Problem | None = None) -> Outcome:
@@ -325,7 +327,7 @@
         if outcome.cause in (*CONNECTION_CAUSES, Cause.NOT_SENT):
             self._deps.policy.lost(self._choice, self._now())
         if outcome.cause in NOT_RUN_CAUSES and self._exchange.sent:
-            self._charge.not_run()
+            self._charge.record_not_run()
         step = next_step(
             outcome,
             repeatable=self._job.profile.repeatable,
--- a/tests/builders_quotas.py
+++ b/tests/builders_quotas.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from gooseberrydale.connection.codec import decode, encode
-from gooseberrydale.process.quota_client import OverQuota, QuotaClient, Want
+from gooseberrydale.process.quota_client import OverQuota, QuotaClient, QuotaDemand
 from gooseberrydale.version.gateway_peers import Fleet, GatewayPeer
 from gooseberrydale.version.quotas.quota import Quota, QuotaUnit
 
@@ -180,7 +180,7 @@
             if node.alive:
                 await node.kill()
 
-    async def ask(self, node: Node, want: Want) -> OverQuota | None:
+    async def ask(self, node: Node, want: QuotaDemand) -> OverQuota | None:
         """Ask for one request at one gateway and record the outcome."""
         began = now()
         if not node.alive or node.frozen or node.client is None:
@@ -265,16 +265,16 @@
         if quota is None:
             return
         name = rng.randbytes(8)
-        want = Want(
-            self.workspace, quota, cost, request=name, patience_s=self.patience_s
+        want = QuotaDemand(
+            self.workspace, quota, cost, request=name, wait_limit_s=self.patience_s
         )
         refused = await self.fleet.ask(self.nodes(rng), want)
         if refused is None or not self.retries:
             return
-        if refused.after_s > self.patience_s:
+        if refused.retry_after_s > self.patience_s:
             return
-        await asyncio.sleep(refused.after_s)
-        retry = Want(self.workspace, quota, cost, request=name)
+        await asyncio.sleep(refused.retry_after_s)
+        retry = QuotaDemand(self.workspace, quota, cost, request=name)
         self.retry_granted.append(await self.fleet.ask(self.nodes(rng), retry) is None)
 
 
--- a/tests/test_entry_quota.py
+++ b/tests/test_entry_quota.py
@@ -17,7 +17,7 @@
 from gooseberrydale.errors import QUEUE_FULL, problem
 from gooseberrydale.process.cfg import EntryCfg, FleetCfg, NodeCfg
 from gooseberrydale.process.entry.quota_link import QuotaLink, entry_fleet
-from gooseberrydale.process.quota_client import QuotaClient, Want
+from gooseberrydale.process.quota_client import QuotaClient, QuotaDemand
 from gooseberrydale.request.background import Background
 from gooseberrydale.version import declaration_file
 from gooseberrydale.version.quotas.quota import Quota, QuotaUnit
@@ -180,7 +180,7 @@
                 lambda fleet=fleet: fleet,
                 lambda: {"a": quota},
                 random.Random(address),
-                is_listed=True,
+                has_static_fleet=True,
             )
             await server.start()
             await client.start()
@@ -189,7 +189,7 @@
         started_at = asyncio.get_running_loop().time()
         await asyncio.sleep(1.0)
         refused = [
-            await clients[i % 2].admit(Want("a", quota, 1)) is not None
+            await clients[i % 2].admit(QuotaDemand("a", quota, 1)) is not None
             for i in range(80)
         ]
         elapsed_s = asyncio.get_running_loop().time() - started_at
--- a/tests/test_operator_cli.py
+++ b/tests/test_operator_cli.py
@@ -19,7 +19,7 @@
     CONTROL_VARIABLE,
     TOKEN_FILE_VARIABLE,
     OperatorExit,
-    finish,
+    run_command,
 )
 from gooseberrydale.request.fingerprint import fingerprint_text
 from gooseberrydale.version.acknowledgements import RevisionStatus
@@ -90,7 +90,7 @@
 
     def command(*args: str) -> int:
         try:
-            fire.Fire(OperatorCommands(), list(args), serialize=finish)
+            fire.Fire(OperatorCommands(), list(args), serialize=run_command)
         except SystemExit as exc:
             return int(exc.code or 0)
         return 0
