--- a/features/environment.py
+++ b/features/environment.py
@@ -9,7 +9,7 @@
 import tempfile
 from typing import Any
 
-from tests.callers import Load
+from tests.callers import BackgroundLoop
 from tests.time_bound import time_bound
 
 SCENARIO_BOUND_S = 900.0
@@ -26,7 +26,7 @@
     """Create the scenario's folder and the event loop of its callers."""
     context.folder = pathlib.Path(tempfile.mkdtemp(prefix="gooseberrydale-"))
     context.fleet = None
-    context.load = Load()
+    context.load = BackgroundLoop()
     context.relays = []
     context.bound = contextlib.ExitStack()
     context.bound.enter_context(time_bound(scenario.name, SCENARIO_BOUND_S))
--- a/features/steps/failure_steps.py
+++ b/features/steps/failure_steps.py
@@ -10,7 +10,7 @@
 
 from features.steps.fleet_steps import COMPLETIONS, caller, show
 from tests.callers import nested_prompt
-from tests.fleet import ENTRY_HTTP, wait_for_port, wait_until
+from tests.fleet import ENTRY_HTTP_PORT, wait_for_port, wait_until
 
 ENDED_KINDS = {"whole", "refused"}
 LOAD_BOUND_S = 180.0
@@ -79,7 +79,7 @@
 def step_request_at_once(context: Any) -> None:
     """Send one request as soon as the first entry accepts connections."""
     fleet = context.fleet
-    wait_for_port(fleet.host(fleet.entries[0]), ENTRY_HTTP)
+    wait_for_port(fleet.host(fleet.entries[0]), ENTRY_HTTP_PORT)
     context.listening_at = time.monotonic()
     send = caller(context).stream(COMPLETIONS, nested_prompt(1, 1, 1))
     context.endings = [context.load.run(send)]
--- a/features/steps/restart_steps.py
+++ b/features/steps/restart_steps.py
@@ -10,7 +10,7 @@
 
 from features.steps.failure_steps import step_ended
 from features.steps.fleet_steps import caller
-from tests.fleet import SIDECAR_RPC, wait_for_port, wait_until
+from tests.fleet import SIDECAR_RPC_PORT, wait_for_port, wait_until
 
 
 @when("all entries and sidecars are restarted gracefully, one after the other")
@@ -31,7 +31,7 @@
     for name in fleet.upstreams:
         fleet.processes["sidecar-" + name].terminate()
         restart(context, "sidecar-" + name)
-        wait_for_port(fleet.host("sidecar-" + name), SIDECAR_RPC)
+        wait_for_port(fleet.host("sidecar-" + name), SIDECAR_RPC_PORT)
     context.restarted_at = time.monotonic()
 
 
--- a/features/steps/security_steps.py
+++ b/features/steps/security_steps.py
@@ -15,11 +15,11 @@
 from gooseberrydale.connection.messages import ReadConfig
 from gooseberrydale.connection.rpc import READ_CONFIG, RpcChannel
 from tests.fleet import (
-    CONTROL_RPC,
-    ENTRY_RPC,
+    CONTROL_RPC_PORT,
+    ENTRY_RPC_PORT,
     FLEET_TOKEN,
     OPERATOR_TOKEN,
-    SIDECAR_RPC,
+    SIDECAR_RPC_PORT,
     UpstreamSpec,
 )
 
@@ -52,10 +52,11 @@
         except httpx2.HTTPError:
             continue
         raise AssertionError(f"{url} answered without TLS: status {answer.status_code}")
-    listeners = [f"{fleet.host(name)}:{ENTRY_RPC}" for name in fleet.entries]
-    listeners += [f"{fleet.host(name)}:{CONTROL_RPC}" for name in fleet.controls]
+    listeners = [f"{fleet.host(name)}:{ENTRY_RPC_PORT}" for name in fleet.entries]
+    listeners += [f"{fleet.host(name)}:{CONTROL_RPC_PORT}" for name in fleet.controls]
     listeners += [
-        f"{fleet.host('sidecar-' + name)}:{SIDECAR_RPC}" for name in fleet.upstreams
+        f"{fleet.host('sidecar-' + name)}:{SIDECAR_RPC_PORT}"
+        for name in fleet.upstreams
     ]
     for address in listeners:
         code = call_code(address, FLEET_TOKEN)
@@ -92,7 +93,7 @@
     assert fleet.processes["sidecar-" + FOREIGN_UPSTREAM].running
     announced = fleet.operate("GET", "/v1/upstreams")["upstreams"]
     assert [upstream["name"] for upstream in announced] == ["engine-1"], announced
-    address = f"{fleet.host('sidecar-engine-1')}:{SIDECAR_RPC}"
+    address = f"{fleet.host('sidecar-engine-1')}:{SIDECAR_RPC_PORT}"
     assert call_code(address, WRONG_TOKEN) is grpc.StatusCode.UNAUTHENTICATED
     assert call_code(address, FLEET_TOKEN) is None
 
--- a/features/steps/silence_steps.py
+++ b/features/steps/silence_steps.py
@@ -17,7 +17,13 @@
     start_fleet,
 )
 from tests.callers import Caller, Ending, nested_prompt
-from tests.fleet import ENTRY_HTTP, SIDECAR_RPC, UPSTREAM_HTTP, Fleet, UpstreamSpec
+from tests.fleet import (
+    ENTRY_HTTP_PORT,
+    SIDECAR_RPC_PORT,
+    UPSTREAM_HTTP_PORT,
+    Fleet,
+    UpstreamSpec,
+)
 from tests.relay import Relay
 
 SLOW_DECODE_S = "0.1"
@@ -41,7 +47,7 @@
 
     def prepare(fleet: Fleet, spec: UpstreamSpec) -> None:
         host = fleet.host("upstream-" + spec.name)
-        relay = relay_to(context, host, UPSTREAM_HTTP)
+        relay = relay_to(context, host, UPSTREAM_HTTP_PORT)
         spec.settings["upstream"] = f"http://{relay.address}"
 
     start_fleet(context, controls, entries, engines(n), prepare=prepare)
@@ -56,7 +62,7 @@
 
     def prepare(fleet: Fleet, spec: UpstreamSpec) -> None:
         host = fleet.host("sidecar-" + spec.name)
-        relay = relay_to(context, host, SIDECAR_RPC)
+        relay = relay_to(context, host, SIDECAR_RPC_PORT)
         spec.settings["advertise"] = relay.address
 
     start_fleet(context, controls, entries, engines(n), prepare=prepare)
@@ -71,7 +77,7 @@
     upstreams = engines(n, "--decode-s", SLOW_DECODE_S)
     fleet = start_fleet(context, controls, entries, upstreams)
     for name in fleet.entries:
-        relay_to(context, fleet.host(name), ENTRY_HTTP)
+        relay_to(context, fleet.host(name), ENTRY_HTTP_PORT)
 
 
 @given("{count:d} streams are under way, one each {every_s:g} s")
--- a/measure/site.py
+++ b/measure/site.py
@@ -17,7 +17,13 @@
 from measure.client import Target
 from measure.deployments import Deployment
 from measure.workload import WORKSPACE_WEIGHTS
-from tests.fleet import UPSTREAM_HTTP, Fleet, UpstreamSpec, key_digest, wait_for_port
+from tests.fleet import (
+    UPSTREAM_HTTP_PORT,
+    Fleet,
+    UpstreamSpec,
+    key_digest,
+    wait_for_port,
+)
 
 DISCOVERY_DELAY_S = 1.5
 READ_TIMEOUT_S = 10.0
@@ -90,7 +96,7 @@
         else:
             self.fleet.start()
         for name in [*self.engines, *self.services]:
-            wait_for_port(self.fleet.host(f"upstream-{name}"), UPSTREAM_HTTP)
+            wait_for_port(self.fleet.host(f"upstream-{name}"), UPSTREAM_HTTP_PORT)
         if not self.direct:
             self._declare()
 
--- a/measure/slopes.py
+++ b/measure/slopes.py
@@ -32,7 +32,7 @@
 from measure.fit import Line, fit
 from measure.report import commit_id
 from measure.subject import Subject, Usage
-from tests.fleet import FLEET_TOKEN, UPSTREAM_HTTP, key_digest
+from tests.fleet import FLEET_TOKEN, UPSTREAM_HTTP_PORT, key_digest
 
 SETTLE_S = 4.0  # time for the process to reach a steady state before the window
 MEASURE_WINDOW_S = 8.0
@@ -151,7 +151,7 @@
 
 
 async def _serve_and_measure(subject: Subject, source: EventSource) -> Usage:
-    server = AppServer(source.app(), subject.upstream_host, UPSTREAM_HTTP)
+    server = AppServer(source.app(), subject.upstream_host, UPSTREAM_HTTP_PORT)
     await server.start()
     try:
         return await _settled_usage(subject)
--- a/measure/subject.py
+++ b/measure/subject.py
@@ -10,16 +10,20 @@
 import psutil
 
 from tests.fleet import (
-    CONTROL_RPC,
-    ENTRY_RPC,
-    SIDECAR_RPC,
+    CONTROL_RPC_PORT,
+    ENTRY_RPC_PORT,
+    SIDECAR_RPC_PORT,
     Fleet,
     UpstreamSpec,
     wait_for_port,
 )
 
 MB = 1e6
-PORTS = {"entry": ENTRY_RPC, "control": CONTROL_RPC, "sidecar": SIDECAR_RPC}
+PORTS = {
+    "entry": ENTRY_RPC_PORT,
+    "control": CONTROL_RPC_PORT,
+    "sidecar": SIDECAR_RPC_PORT,
+}
 
 
 @dataclass(frozen=True, slots=True)
--- a/scripts/measure_load_view.py
+++ b/scripts/measure_load_view.py
@@ -11,7 +11,14 @@
 
 import fire
 
-from scripts.routing_model import REPLIES_ONLY, Figures, RefreshMode, Run, Size, draw
+from scripts.routing_model import (
+    REPLIES_ONLY,
+    Figures,
+    ModelSize,
+    RefreshMode,
+    Simulation,
+    draw_arrivals,
+)
 
 PARTITIONS = 8
 REPORT_BYTES = 16
@@ -33,20 +40,20 @@
     load_factor: float = 2.0,
 ) -> None:
     """Print the figures of each mode and seed, and their means over the seeds."""
-    size = Size()
+    size = ModelSize()
     size = replace(size, requests_per_s=size.requests_per_s * load_factor)
     results: dict[str, list[Figures]] = {}
     for seed in range(seeds):
-        arrivals = draw(size, seed)
+        arrivals = draw_arrivals(size, seed)
         for mode in refresh_modes(tuple(intervals)):
-            figures = Run(size, seed, refresh=mode).play(arrivals)
+            figures = Simulation(size, seed, refresh=mode).run(arrivals)
             results.setdefault(mode.name, []).append(figures)
             print(f"seed {seed}  {_row(size, mode, [figures])}", flush=True)
     for mode in refresh_modes(tuple(intervals)):
         print(f"mean    {_row(size, mode, results[mode.name])}")
 
 
-def _row(size: Size, mode: RefreshMode, figures: list[Figures]) -> str:
+def _row(size: ModelSize, mode: RefreshMode, figures: list[Figures]) -> str:
     rate = 0.0
     if mode.partitions:
         rate = size.upstreams * REPORT_BYTES / mode.interval_s
--- a/scripts/measure_policies.py
+++ b/scripts/measure_policies.py
@@ -10,7 +10,7 @@
 
 import fire
 
-from scripts.routing_model import Figures, Run, Size, draw
+from scripts.routing_model import Figures, ModelSize, Simulation, draw_arrivals
 
 
 def main(
@@ -21,12 +21,13 @@
 ) -> None:
     """Print the figures of each policy and load factor, as means over the seeds."""
     for load_factor in load_factors:
-        size = Size(warm_up_s=warm_up_s)
+        size = ModelSize(warm_up_s=warm_up_s)
         size = replace(size, requests_per_s=size.requests_per_s * load_factor)
-        arrivals = [draw(size, seed) for seed in range(seeds)]
+        arrivals = [draw_arrivals(size, seed) for seed in range(seeds)]
         for policy in policies:
             runs = [
-                Run(size, seed, policy).play(arrivals[seed]) for seed in range(seeds)
+                Simulation(size, seed, policy).run(arrivals[seed])
+                for seed in range(seeds)
             ]
             row = f"{size.requests_per_s:6.0f} req/s  {policy:12}"
             print(f"{row}  {Figures.mean(runs)}", flush=True)
--- a/scripts/routing_model.py
+++ b/scripts/routing_model.py
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
+class ModelSize:
     """Counts and durations of a simulation; defaults are a fifth of a full fleet."""
 
     upstreams: int = 148
@@ -135,12 +135,12 @@
 REPLIES_ONLY = RefreshMode("replies only")
 
 
-class Run:
+class Simulation:
     """Simulates one sequence of requests under one policy and refresh mode."""
 
     def __init__(
         self,
-        size: Size,
+        size: ModelSize,
         seed: int,
         policy: str = "affinity",
         refresh: RefreshMode = REPLIES_ONLY,
@@ -161,7 +161,7 @@
         self._first_token_times: list[float] = []
         self._cached_prompt_tokens = self._prompt_tokens = 0
 
-    def play(self, arrivals: list[Arrival]) -> Figures:
+    def run(self, arrivals: list[Arrival]) -> Figures:
         """Serve all arrivals; return the figures of those after the warm-up."""
         refreshes = self._refreshes()
         next_refresh = next(refreshes, None)
@@ -250,7 +250,7 @@
     ]
 
 
-def draw(size: Size, seed: int) -> list[Arrival]:
+def draw_arrivals(size: ModelSize, seed: int) -> list[Arrival]:
     """Return the arrivals of a seed.
 
     Few workspaces get most of the requests; which ones changes every
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -20,7 +20,7 @@
 from soak.environment import Environment
 from soak.guarantees import Callers, find_violations
 from soak.plan import Fault, make_plan
-from tests.callers import Load
+from tests.callers import BackgroundLoop
 
 KNOWN_SEEDS_PATH = pathlib.Path(__file__).parent / "known_seeds.toml"
 CALLER_COUNT = 4
@@ -30,7 +30,7 @@
 
 def run_seed(seed: int, seconds: float, folder: pathlib.Path) -> list[str]:
     """Run one seed; return the violated guarantees."""
-    load = Load()
+    load = BackgroundLoop()
     environment = Environment(folder, load)
     try:
         targets = environment.start()
--- a/soak/environment.py
+++ b/soak/environment.py
@@ -13,11 +13,11 @@
 
 from gooseberrydale.version.declarations import Profile, ProfileKind, Workspace
 from soak.plan import LINK_FAULTS, Fault, FaultKind, Targets
-from tests.callers import Load
+from tests.callers import BackgroundLoop
 from tests.fleet import (
-    CONTROL_RPC,
-    ENTRY_RPC,
-    SIDECAR_RPC,
+    CONTROL_RPC_PORT,
+    ENTRY_RPC_PORT,
+    SIDECAR_RPC_PORT,
     Fleet,
     UpstreamSpec,
     key_digest,
@@ -48,7 +48,7 @@
     the drains that did not end with exit code 0.
     """
 
-    def __init__(self, folder: pathlib.Path, load: Load) -> None:
+    def __init__(self, folder: pathlib.Path, load: BackgroundLoop) -> None:
         self.fleet = Fleet(folder, ZONES)
         self._load = load
         self._relays: dict[str, Relay] = {}
@@ -61,9 +61,9 @@
         """Start all processes; return the targets of faults."""
         fleet = self.fleet
         for number in range(CONTROLS):
-            self._relay(f"control-{number + 1}", CONTROL_RPC)
+            self._relay(f"control-{number + 1}", CONTROL_RPC_PORT)
         for number in range(ENTRIES):
-            self._relay(f"entry-{number + 1}", ENTRY_RPC)
+            self._relay(f"entry-{number + 1}", ENTRY_RPC_PORT)
         fleet.add_controls(CONTROLS)
         fleet.add_entries(ENTRIES)
         engines = [f"engine-{n + 1}" for n in range(ENGINES)]
@@ -207,7 +207,7 @@
         return relay
 
     def _add_upstream(self, name: str, *, is_engine: bool) -> None:
-        relay = self._relay(f"sidecar-{name}", SIDECAR_RPC)
+        relay = self._relay(f"sidecar-{name}", SIDECAR_RPC_PORT)
         self.fleet.add_upstream(
             UpstreamSpec(
                 name,
--- a/soak/guarantees.py
+++ b/soak/guarantees.py
@@ -104,7 +104,7 @@
                 f" the last fault: {kind}"
             )
     try:
-        wait_until(fleet.control_whole, "control replicas are missing")
+        wait_until(fleet.control_healthy, "control replicas are missing")
     except AssertionError as exc:
         yield str(exc)
 
--- a/tests/builders_fleet.py
+++ b/tests/builders_fleet.py
@@ -67,25 +67,25 @@
     """A gateway's own work, and what other gateways reported of upstreams."""
 
     work: dict[str, UpstreamWork] = field(default_factory=dict)
-    dead: tuple[str, ...] = ()
-    refused: tuple[str, ...] = ()
-    heard_dead: set[str] = field(default_factory=set)
-    heard_refused: set[str] = field(default_factory=set)
+    silent_upstreams: tuple[str, ...] = ()
+    refusing_upstreams: tuple[str, ...] = ()
+    reported_silent: set[str] = field(default_factory=set)
+    reported_refused: set[str] = field(default_factory=set)
 
     def works(self) -> tuple[UpstreamWork, ...]:
         return tuple(self.work.values())
 
     def refusing(self, now: float) -> tuple[str, ...]:
-        return self.refused
+        return self.refusing_upstreams
 
     def peer_refused(self, names: Collection[str], now: float) -> None:
-        self.heard_refused |= set(names)
+        self.reported_refused |= set(names)
 
     def silent(self, now: float) -> tuple[str, ...]:
-        return self.dead
+        return self.silent_upstreams
 
     def peer_silent(self, names: Collection[str], now: float) -> None:
-        self.heard_dead |= set(names)
+        self.reported_silent |= set(names)
 
 
 class Node:
@@ -129,7 +129,7 @@
     )
 
 
-def fleet_of(net: Net, gateways: int, zones: int) -> list[Node]:
+def make_nodes(net: Net, gateways: int, zones: int) -> list[Node]:
     """Return nodes, each of which has all others as peers."""
     peers = make_peers(gateways, zones)
     return [
@@ -138,7 +138,7 @@
     ]
 
 
-async def work_for(nodes: list[Node], seconds: float, *, per_s: float) -> None:
+async def change_work(nodes: list[Node], seconds: float, *, per_s: float) -> None:
     """Change each gateway's work ``per_s`` times a second; end with 1 request."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
--- a/tests/callers.py
+++ b/tests/callers.py
@@ -261,7 +261,7 @@
         return ending
 
 
-class Load:
+class BackgroundLoop:
     """Runs coroutines, such as those that send requests, on a background event loop."""
 
     def __init__(self) -> None:
--- a/tests/example_fleet.py
+++ b/tests/example_fleet.py
@@ -30,7 +30,7 @@
 
     def apply_declarations(self) -> str:
         """Apply the declarations with the operators' command and its ``--wait``."""
-        wait_until(self.control_whole, "control replicas are missing")
+        wait_until(self.control_healthy, "control replicas are missing")
         declarations = str(self._source / "declarations.toml")
         return self.cli("apply", declarations, "--wait", *self.operator_args())
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -33,12 +33,12 @@
 STOP_BOUND_S = 60.0
 POLL_S = 0.02
 
-ENTRY_HTTP, ENTRY_RPC = 8080, 8081
-SIDECAR_RPC = 8090
-CONTROL_RPC, CONTROL_HTTP = 8070, 8071
-UPSTREAM_HTTP = 9000
+ENTRY_HTTP_PORT, ENTRY_RPC_PORT = 8080, 8081
+SIDECAR_RPC_PORT = 8090
+CONTROL_RPC_PORT, CONTROL_HTTP_PORT = 8070, 8071
+UPSTREAM_HTTP_PORT = 9000
 MAX_HOSTS = 40
-METRICS_HTTP = 9100
+METRICS_HTTP_PORT = 9100
 CLOSED_PORT = 1
 
 
@@ -165,27 +165,27 @@
 
     def entry_url(self, name: str) -> str:
         """Return the base URL of an entry's HTTP interface."""
-        return f"{self._scheme}://{self.host(name)}:{ENTRY_HTTP}"
+        return f"{self._scheme}://{self.host(name)}:{ENTRY_HTTP_PORT}"
 
     def operator_url(self, name: str) -> str:
         """Return the base URL of a control replica's operator interface."""
-        return f"{self._scheme}://{self.host(name)}:{CONTROL_HTTP}"
+        return f"{self._scheme}://{self.host(name)}:{CONTROL_HTTP_PORT}"
 
     def upstream_url(self, name: str) -> str:
         """Return the base URL of the upstream itself, without its sidecar."""
-        return f"http://{self.host('upstream-' + name)}:{UPSTREAM_HTTP}"
+        return f"http://{self.host('upstream-' + name)}:{UPSTREAM_HTTP_PORT}"
 
     # Building.
 
     def add_controls(self, count: int, **settings: object) -> None:
         """Add ``count`` control replicas, spread over the zones."""
         self.controls = [f"control-{i + 1}" for i in range(count)]
-        replicas = {n: f"{self.host(n)}:{CONTROL_RPC}" for n in self.controls}
+        replicas = {n: f"{self.host(n)}:{CONTROL_RPC_PORT}" for n in self.controls}
         for i, name in enumerate(self.controls):
             table = {
                 "data_dir": str(self.folder / name),
-                "rpc": f"{self.host(name)}:{CONTROL_RPC}",
-                "http": f"{self.host(name)}:{CONTROL_HTTP}",
+                "rpc": f"{self.host(name)}:{CONTROL_RPC_PORT}",
+                "http": f"{self.host(name)}:{CONTROL_HTTP_PORT}",
                 "operators_file": str(self.folder / "operators.toml"),
                 "replicas": replicas,
                 **settings,
@@ -198,8 +198,8 @@
         self.entries = [f"entry-{i + 1}" for i in range(count)]
         for i, name in enumerate(self.entries):
             table = {
-                "http": f"{self.host(name)}:{ENTRY_HTTP}",
-                "rpc": f"{self.host(name)}:{ENTRY_RPC}",
+                "http": f"{self.host(name)}:{ENTRY_HTTP_PORT}",
+                "rpc": f"{self.host(name)}:{ENTRY_RPC_PORT}",
                 **settings,
             }
             self._write_cfg(name, self.zones[i % len(self.zones)], "entry", table)
@@ -213,7 +213,7 @@
         self._add_process(
             "upstream-" + spec.name,
             [sys.executable, "-m", "gooseberrydale.example", app]
-            + ["--host", host, "--port", str(UPSTREAM_HTTP), *spec.flags],
+            + ["--host", host, "--port", str(UPSTREAM_HTTP_PORT), *spec.flags],
         )
         sidecar = "sidecar-" + spec.name
         table = {
@@ -221,13 +221,13 @@
             "pool": spec.pool,
             "kind": spec.kind,
             "model": spec.model if spec.kind == "completion" else "",
-            "rpc": f"{self.host(sidecar)}:{SIDECAR_RPC}",
+            "rpc": f"{self.host(sidecar)}:{SIDECAR_RPC_PORT}",
             **spec.settings,
         }
         self._write_cfg(sidecar, spec.zone, "sidecar", table, node=spec.name)
         if spec.metrics:
             listener: dict[str, object] = {
-                "http": f"{self.host(sidecar)}:{METRICS_HTTP}"
+                "http": f"{self.host(sidecar)}:{METRICS_HTTP_PORT}"
             }
             with open(self.cfg_path(sidecar), "a") as cfg:
                 cfg.write(_toml("metrics", listener))
@@ -345,13 +345,13 @@
             url = self.entry_url(name) + "/readyz"
             ready = functools.partial(_answers, url, self.verify)
             wait_until(ready, f"{name} is not ready")
-        wait_until(self.control_whole, "not every control replica is repaired")
+        wait_until(self.control_healthy, "not every control replica is repaired")
         wait_until(
             lambda: len(self.operate("GET", "/v1/upstreams")["upstreams"]) >= upstreams,
             f"fewer than {upstreams} upstreams have announced themselves",
         )
 
-    def control_whole(self) -> bool:
+    def control_healthy(self) -> bool:
         """Whether the leader reports the repair of every replica as done."""
         control = self.operate("GET", "/v1/status?from=leader")["control"]
         states = {repair["state"] for repair in control["repairs"]}
@@ -359,7 +359,7 @@
 
     def sidecar_gauge(self, upstream: str, name: str) -> float:
         """Return the value of a gauge; the sidecar must have a metrics listener."""
-        url = f"http://{self.host('sidecar-' + upstream)}:{METRICS_HTTP}/metrics"
+        url = f"http://{self.host('sidecar-' + upstream)}:{METRICS_HTTP_PORT}/metrics"
         text = httpx2.get(url, timeout=10.0, trust_env=False).text
         lines = [line for line in text.splitlines() if line[:1] not in ("", "#")]
         samples = [line for line in lines if name in line.split("{")[0]]
@@ -400,11 +400,11 @@
         table: dict[str, object],
         node: str = "",
     ) -> None:
-        port = CLOSED_PORT if name in self.cut_off else CONTROL_RPC
+        port = CLOSED_PORT if name in self.cut_off else CONTROL_RPC_PORT
         fleet: dict[str, object] = {
             "token_file": str(self.folder / "fleet-token"),
             "controls": [self._rpc(n, port) for n in self.controls],
-            "entries": [self._rpc(n, ENTRY_RPC) for n in self.entries],
+            "entries": [self._rpc(n, ENTRY_RPC_PORT) for n in self.entries],
         }
         if self.tls:
             fleet["tls"] = self.tls
@@ -469,7 +469,7 @@
         net = f"127.{1 + os.getpid() % 250}.{(time.time_ns() // 1000 + attempt) % 250}"
         try:
             with socket.socket() as probe:
-                probe.bind((f"{net}.254", CONTROL_RPC))
+                probe.bind((f"{net}.254", CONTROL_RPC_PORT))
             return net
         except OSError:
             continue
--- a/tests/test_area_gossip.py
+++ b/tests/test_area_gossip.py
@@ -16,7 +16,7 @@
 from gooseberrydale.version import gateway_peers
 from gooseberrydale.version.gateway_peers import MAX_FLAT_GATEWAYS
 from gooseberrydale.version.peer_loads import REPORT_RETENTION_S, UpstreamWork
-from tests.builders_fleet import Net, Node, fleet_of, work_for
+from tests.builders_fleet import Net, Node, change_work, make_nodes
 from tests.clock import run_paused
 
 ZONES = 6
@@ -33,7 +33,7 @@
 
 
 async def started(net: Net, gateways: int) -> list[Node]:
-    nodes = fleet_of(net, gateways, ZONES)
+    nodes = make_nodes(net, gateways, ZONES)
     for node in nodes:
         await node.start()
     return nodes
@@ -55,7 +55,7 @@
 def test_each_gateway_records_the_work_of_all_others(gateways: int) -> None:
     async def main() -> None:
         nodes = await started(Net(), gateways)
-        await work_for(nodes, 2.0, per_s=10.0)
+        await change_work(nodes, 2.0, per_s=10.0)
         await asyncio.sleep(SETTLE_S)
         assert recorded_requests(nodes) == {gateways - 1}
         assert {node.loads.at("u").kv_tokens for node in nodes} == {
@@ -72,7 +72,7 @@
     async def sent_per_s(gateways: int) -> tuple[float, float]:
         net = Net()
         nodes = await started(net, gateways)
-        await work_for(nodes, 3.0, per_s=50.0)
+        await change_work(nodes, 3.0, per_s=50.0)
         await closed(nodes)
         relays = {node.peer.name for node in nodes[:ZONES]}
         others = [n / 3.0 for name, n in net.sent.items() if name not in relays]
@@ -92,7 +92,7 @@
     async def crossing() -> int:
         net = Net()
         nodes = await started(net, LARGE)
-        await work_for(nodes, 3.0, per_s=20.0)
+        await change_work(nodes, 3.0, per_s=20.0)
         await closed(nodes)
         return net.bytes_between_zones
 
@@ -104,7 +104,7 @@
 def test_another_gateway_relays_after_the_relay_stopped() -> None:
     async def main() -> None:
         nodes = await started(Net(), LARGE)
-        await work_for(nodes, 1.0, per_s=10.0)
+        await change_work(nodes, 1.0, per_s=10.0)
         nodes[0].up = False
         await asyncio.sleep(
             REPORT_RETENTION_S + FULL_REPORT_INTERVAL_S + RELAY_CHECK_INTERVAL_S
@@ -127,12 +127,14 @@
     async def main() -> None:
         nodes = await started(Net(), LARGE)
         await asyncio.sleep(REPORT_RETENTION_S + SETTLE_S)
-        nodes[40].view.dead, nodes[40].view.refused = ("u8",), ("u9",)
+        nodes[40].view.silent_upstreams, nodes[40].view.refusing_upstreams = ("u8",), (
+            "u9",
+        )
         nodes[40].gossip.changed()
         await asyncio.sleep(FULL_REPORT_INTERVAL_S + SETTLE_S)
         others = [node.view for node in nodes if node is not nodes[40]]
-        assert all(view.heard_dead == {"u8"} for view in others)
-        assert all(view.heard_refused == {"u9"} for view in others)
+        assert all(view.reported_silent == {"u8"} for view in others)
+        assert all(view.reported_refused == {"u9"} for view in others)
         await closed(nodes)
 
     run_paused(main())
@@ -143,7 +145,7 @@
     stopped: int | None,
 ) -> None:
     async def main() -> None:
-        nodes = fleet_of(Net(), LARGE, ZONES)
+        nodes = make_nodes(Net(), LARGE, ZONES)
         received: list[list[str]] = [[] for _ in nodes]
         for node, texts in zip(nodes, received, strict=True):
             node.datagrams.on(
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -34,7 +34,7 @@
 from gooseberrydale.request.members import MAX_PREFERRED, Members
 from gooseberrydale.request.prefix_rates import PrefixRates, preferred_needed
 from gooseberrydale.request.routing import Choice, Policy, Router, RouteReq
-from scripts.routing_model import Run, Size, draw
+from scripts.routing_model import ModelSize, Simulation, draw_arrivals
 from tests.builders_request import (
     MODEL,
     POOL,
@@ -428,11 +428,11 @@
     seed: int,
 ) -> None:
     """A policy that spreads misses breaks down here: copies and misses keep growing."""
-    size = Size(24, 8, 58, 400.0, warm_up_s=6.0, measured_s=4.0)
-    arrivals = draw(size, seed)
-    figures = Run(size, seed).play(arrivals)
+    size = ModelSize(24, 8, 58, 400.0, warm_up_s=6.0, measured_s=4.0)
+    arrivals = draw_arrivals(size, seed)
+    figures = Simulation(size, seed).run(arrivals)
     assert figures.hit_rate > 0.93
-    assert figures.p99_s < 0.5 * Run(size, seed, "hash-only").play(arrivals).p99_s
+    assert figures.p99_s < 0.5 * Simulation(size, seed, "hash-only").run(arrivals).p99_s
 
 
 @pytest.mark.parametrize(
