--- a/tests/test_work_gossip.py
+++ b/tests/test_work_gossip.py
@@ -57,9 +57,9 @@
         super().__init__()
         self.reports: list[WorkReport] = []
 
-    def take(self, report: WorkReport, now: float) -> bool:
+    def merge(self, report: WorkReport, now: float) -> bool:
         self.reports.append(report)
-        return super().take(report, now)
+        return super().merge(report, now)
 
 
 @dataclass
